--- a/Services/Entryd/Attempts.cpp
+++ b/Services/Entryd/Attempts.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// A kept connection older than this may have been forgotten by something on the way; a request
-/// that must not run twice goes on a fresher one.
-constexpr Milliseconds longestIdle{10000};
-constexpr Milliseconds longestIdleOnce{2000};
-/// The first attempt of a request that may be repeated waits this many usual latencies.
-constexpr int patienceInLatencies = 10;
-constexpr Milliseconds leastPatience{250};
+/// A connection that has been idle for longer may have been dropped by a middlebox; a request that
+/// must not run twice uses a fresher connection.
+constexpr Milliseconds maxIdleAge{10000};
+constexpr Milliseconds maxIdleAgeNonIdempotent{2000};
+/// The timeout of an attempt that may be repeated, as a multiple of the target's average latency.
+constexpr int attemptTimeoutInLatencies = 10;
+constexpr Milliseconds minAttemptTimeout{250};
 constexpr Milliseconds connectTimeout{300};
-constexpr std::size_t connectionsToEntry = 64;
+constexpr std::size_t maxConnectionsToEntry = 64;
 
 Model::SteadyTime steadyNow()
 {
@@ -42,8 +42,8 @@
 
 } // namespace
 
-Http::Task<Verdict> Dispatcher::attempt(CallerRequest &request, Placement placement,
-                                        AttemptNumber number, bool &isRefusedAsFull)
+Http::Task<RequestResult> Dispatcher::attempt(CallerRequest &request, Placement placement,
+                                              AttemptNumber number, bool &isRefusedAsFull)
 {
     if (auto *entry = std::get_if<ToEntry>(&placement)) {
         co_return co_await attemptEntry(request, *entry);
@@ -57,15 +57,16 @@
 {
     if (!number.mayBeCutShort_)
         return request.deadline_;
-    // A connection that went silent for good never answers; waiting for the deadline on it would
-    // leave no time for a new one.
+    // A silently dropped connection never answers; waiting for the deadline on it would leave no
+    // time for a new one.
     const Model::Microseconds usual(target.latencyUs_.load());
-    const auto patience = std::max<Model::Microseconds>(leastPatience, patienceInLatencies * usual);
-    return std::min(request.deadline_, steadyNow() + patience);
+    const auto timeout
+        = std::max<Model::Microseconds>(minAttemptTimeout, attemptTimeoutInLatencies * usual);
+    return std::min(request.deadline_, steadyNow() + timeout);
 }
 
-Http::Task<Verdict> Dispatcher::attemptTarget(CallerRequest &request, ToTarget place,
-                                              AttemptNumber number, bool &isRefusedAsFull)
+Http::Task<RequestResult> Dispatcher::attemptTarget(CallerRequest &request, ToTarget place,
+                                                    AttemptNumber number, bool &isRefusedAsFull)
 {
     const std::shared_ptr<TargetState> target = place.slot_.state();
     const auto entries = cell_.read([](const EntrySnapshot *snapshot) {
@@ -75,8 +76,8 @@
     options.address_ = Observe::dialAddress(settings_, target->target_.address_);
     options.deadline_ = attemptDeadline(request, *target, number);
     options.connectTimeout_ = connectTimeout;
-    options.longestIdle_ = request.isIdempotent_ ? longestIdle : longestIdleOnce;
-    // A second attempt is made on a new connection: what failed may be the kept ones.
+    options.longestIdle_ = request.isIdempotent_ ? maxIdleAge : maxIdleAgeNonIdempotent;
+    // A retry uses a new connection, because the idle connections may be the cause of the failure.
     if (number.count_ > 1)
         options.longestIdle_ = Milliseconds(0);
     options.connectionLimit_ = Policy::connectionsForThread(
@@ -96,22 +97,23 @@
     const bool isBroken = result.code_ == ResultCode::TargetConnectionLost
                           || result.code_ == ResultCode::TruncatedAnswer;
     if (isBroken && !result.isWithdrawn_ && guard_.noteLost(request, *target, steadyNow()))
-        Http::asio::co_spawn(context_, askWhetherListening(target), Http::asio::detached);
+        Http::asio::co_spawn(context_, checkListening(target), Http::asio::detached);
     if (result.isRefused_)
         guard_.noteListening(*target, Http::Listening::No, steadyNow());
-    Verdict verdict = judgeTargetAnswer(std::move(result), *target, isRefusedAsFull);
-    // A failure of the target's own says little of what it did with the request.
-    if (verdict.answer_ && verdict.answer_->result() < Http::http::status::internal_server_error)
+    RequestResult requestResult = classifyTargetAnswer(std::move(result), *target, isRefusedAsFull);
+    // A server error of the target does not show whether it processed the request.
+    if (requestResult.answer_
+        && requestResult.answer_->result() < Http::http::status::internal_server_error)
         guard_.noteAnswered(request, steadyNow());
-    // A refusal takes no time; counted as an answer it would make the target look fast, and real
-    // work would then be given up as silent.
-    if (verdict.outcome_ == Outcome::Run)
+    // A refusal takes no time; counted as an answer it would lower the average latency, and
+    // attempts in progress would then be cut short as unanswered.
+    if (requestResult.outcome_ == Outcome::Run)
         noteLatency(*target, std::chrono::duration_cast<Model::Microseconds>(steadyNow() - sentAt));
     release(std::move(place.slot_), request.serviceIndex_);
-    co_return verdict;
+    co_return requestResult;
 }
 
-Http::Task<void> Dispatcher::askWhetherListening(std::shared_ptr<TargetState> target)
+Http::Task<void> Dispatcher::checkListening(std::shared_ptr<TargetState> target)
 {
     Http::ExchangeOptions options;
     options.address_ = Observe::dialAddress(settings_, target->target_.address_);
@@ -123,21 +125,22 @@
         noteTargetLost(*target, true);
 }
 
-Verdict Dispatcher::judgeTargetAnswer(Http::ExchangeResult result, TargetState &target,
-                                      bool &isRefusedAsFull)
+RequestResult Dispatcher::classifyTargetAnswer(Http::ExchangeResult result, TargetState &target,
+                                               bool &isRefusedAsFull)
 {
-    Verdict verdict;
+    RequestResult requestResult;
     if (!result.answer_) {
         const AttemptStage stage = stageOf(result.stage_);
-        verdict.outcome_ = Policy::outcomeOf(stage);
-        verdict.code_ = result.code_;
-        if (verdict.outcome_ == Outcome::NotRun)
-            verdict.comeBack_ = Policy::leastComeBack;
+        requestResult.outcome_ = Policy::outcomeOf(stage);
+        requestResult.code_ = result.code_;
+        if (requestResult.outcome_ == Outcome::NotRun)
+            requestResult.retryDelay_ = Policy::leastComeBack;
         if (result.isWithdrawn_) {
             ++counters_.withdrawn_;
-            // Nothing of it was sent: it goes back to waiting for another target.
-            isRefusedAsFull = verdict.outcome_ == Outcome::NotRun;
-            return verdict;
+            // No part of the request was sent: it returns to the queue and waits for another
+            // target.
+            isRefusedAsFull = requestResult.outcome_ == Outcome::NotRun;
+            return requestResult;
         }
         if (result.code_ == ResultCode::ForeignAnswer) {
             ++counters_.foreignAnswers_;
@@ -145,14 +148,14 @@
                               {{"target", target.target_.id_.value()}});
         }
         noteTargetLost(target, stage == AttemptStage::NotConnected);
-        return verdict;
+        return requestResult;
     }
     noteTargetAnswer(target, *result.answer_);
     const auto refusedBecause = (*result.answer_)[viewOf(Http::notStartedHeader)];
     if (!refusedBecause.empty()) {
-        verdict.outcome_ = Policy::outcomeOf(AttemptStage::RefusedByTarget);
-        verdict.code_ = ResultCode::TargetRefused;
-        verdict.comeBack_ = Policy::leastComeBack;
+        requestResult.outcome_ = Policy::outcomeOf(AttemptStage::RefusedByTarget);
+        requestResult.code_ = ResultCode::TargetRefused;
+        requestResult.retryDelay_ = Policy::leastComeBack;
         isRefusedAsFull = true;
         if (refusedBecause == "draining") {
             if (!target.isLeaving_.exchange(true))
@@ -160,61 +163,63 @@
         } else {
             noteFull(target, steadyNow());
         }
-        return verdict;
+        return requestResult;
     }
-    verdict.outcome_ = Policy::outcomeOf(AttemptStage::Answered);
-    verdict.answer_ = std::move(result.answer_);
-    stripAnswer(*verdict.answer_);
-    verdict.answer_->set(viewOf(Http::targetHeader), target.target_.id_.value());
-    return verdict;
+    requestResult.outcome_ = Policy::outcomeOf(AttemptStage::Answered);
+    requestResult.answer_ = std::move(result.answer_);
+    stripAnswer(*requestResult.answer_);
+    requestResult.answer_->set(viewOf(Http::targetHeader), target.target_.id_.value());
+    return requestResult;
 }
 
-Http::Task<Verdict> Dispatcher::attemptEntry(CallerRequest &request, ToEntry place)
+Http::Task<RequestResult> Dispatcher::attemptEntry(CallerRequest &request, ToEntry place)
 {
-    ++counters_.handedOver_;
+    ++counters_.forwardedRequests_;
     Http::ExchangeOptions options;
     options.address_ = Observe::dialAddress(settings_, place.address_);
     options.deadline_ = request.deadline_;
     options.connectTimeout_ = Milliseconds(1000);
-    options.longestIdle_ = request.isIdempotent_ ? longestIdle : longestIdleOnce;
-    options.connectionLimit_ = connectionsToEntry;
+    options.longestIdle_ = request.isIdempotent_ ? maxIdleAge : maxIdleAgeNonIdempotent;
+    options.connectionLimit_ = maxConnectionsToEntry;
     const Http::Request message = cell_.read([&](const EntrySnapshot *snapshot) {
         return messageForEntry(request, *snapshot->table_, place.domain_, steadyNow());
     });
     Http::ExchangeResult result = co_await Http::exchange(pool_, options, message, isAnswerTo);
 
-    Verdict verdict;
+    RequestResult requestResult;
     if (!result.answer_) {
-        const bool isUnsent = result.stage_ == Http::ExchangeStage::NotConnected;
-        // A deadline that passed may be the fault of a slow target there.
+        const bool isNotConnected = result.stage_ == Http::ExchangeStage::NotConnected;
+        // An expired deadline may be caused by a slow target in the other region.
         if (result.code_ != ResultCode::TargetTimeout)
             Policy::noteEntryLost(entryFailures_, place.address_, steadyNow());
-        verdict.outcome_ = Policy::outcomeOf(stageOf(result.stage_));
-        verdict.code_ = isUnsent ? ResultCode::NoTarget : ResultCode::EntryConnectionLost;
-        if (isUnsent)
-            verdict.comeBack_ = Policy::leastComeBack;
-        co_return verdict;
+        requestResult.outcome_ = Policy::outcomeOf(stageOf(result.stage_));
+        requestResult.code_
+            = isNotConnected ? ResultCode::NoTarget : ResultCode::EntryConnectionLost;
+        if (isNotConnected)
+            requestResult.retryDelay_ = Policy::leastComeBack;
+        co_return requestResult;
     }
     Policy::noteEntryAnswered(entryFailures_, place.address_);
-    // The other entry speaks for its region: what it says of the outcome is passed on.
+    // The other entry is authoritative for its region: its outcome is passed on to the caller.
     const Http::Response &answer = *result.answer_;
     const auto outcome = answer[viewOf(Http::outcomeHeader)];
     const auto code = numberIn(answer[viewOf(Http::codeHeader)], 0);
     const auto target = answer[viewOf(Http::targetHeader)];
     const std::string targetName(target.data(), target.size());
-    verdict.code_ = static_cast<ResultCode>(code);
+    requestResult.code_ = static_cast<ResultCode>(code);
     if (outcome == viewOf(toText(Outcome::Run))) {
-        verdict.outcome_ = Outcome::Run;
-        verdict.answer_ = std::move(result.answer_);
-        stripAnswer(*verdict.answer_);
-        verdict.answer_->set(viewOf(Http::targetHeader), targetName);
-        co_return verdict;
+        requestResult.outcome_ = Outcome::Run;
+        requestResult.answer_ = std::move(result.answer_);
+        stripAnswer(*requestResult.answer_);
+        requestResult.answer_->set(viewOf(Http::targetHeader), targetName);
+        co_return requestResult;
     }
     const bool isNotRun = outcome == viewOf(toText(Outcome::NotRun));
-    verdict.outcome_ = isNotRun ? Outcome::NotRun : Outcome::Unknown;
+    requestResult.outcome_ = isNotRun ? Outcome::NotRun : Outcome::Unknown;
     if (isNotRun)
-        verdict.comeBack_ = Milliseconds(numberIn(answer[viewOf(Http::comeBackHeader)], 1000));
-    co_return verdict;
+        requestResult.retryDelay_
+            = Milliseconds(numberIn(answer[viewOf(Http::comeBackHeader)], 1000));
+    co_return requestResult;
 }
 
 } // namespace Entryd
--- a/Services/Entryd/CallerRequest.cpp
+++ b/Services/Entryd/CallerRequest.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t longestKey = 200;
-constexpr std::size_t longestCallerName = 200;
-constexpr long long longestDeadlineMs = 600000;
+constexpr std::size_t maxKeyLength = 200;
+constexpr std::size_t maxCallerNameLength = 200;
+constexpr long long maxDeadlineMs = 600000;
 constexpr double defaultClassWeight = 10;
 
 Http::beast::string_view viewOf(std::string_view text)
@@ -34,7 +34,7 @@
            && Http::beast::iequals(name.substr(0, prefix.size()), viewOf(prefix));
 }
 
-/// Leaves out what holds for one connection only and what is our own.
+/// Removes hop-by-hop and internal headers.
 template <typename Message>
 void strip(Message &message)
 {
@@ -53,7 +53,7 @@
     long long value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || value <= 0
-        || value > longestDeadlineMs)
+        || value > maxDeadlineMs)
         return Model::fail(ResultCode::BadDeadline, "'" + text + "'");
     return Milliseconds(value);
 }
@@ -85,7 +85,7 @@
     return other;
 }
 
-/// What requests from both ports have in common.
+/// Parses what requests of both ports have in common.
 std::optional<CallerRequest> readCommon(const EntrySnapshot &snapshot,
                                         Http::IncomingRequest incoming)
 {
@@ -139,8 +139,9 @@
     request->origin_ = originOf(snapshot, remoteHost);
 
     std::string caller = header(request->message_, Http::callerNameHeader);
-    if (caller.size() > longestCallerName || !isPrintable(caller))
-        return Model::fail(ResultCode::MalformedRequest, "the Caller header is not a name");
+    if (caller.size() > maxCallerNameLength || !isPrintable(caller))
+        return Model::fail(ResultCode::MalformedRequest,
+                           "the Caller name is too long or not printable ASCII without spaces");
     request->caller_ = Model::CallerId(caller.empty() ? remoteHost : std::move(caller));
     request->class_ = classFor(*snapshot.table_, request->caller_);
 
@@ -149,7 +150,7 @@
         return request;
     const std::string key = header(request->message_, Http::idempotencyKeyHeader);
     const bool isOneKey = request->message_.count(keyName) == 1;
-    if (key.empty() || key.size() > longestKey || !isPrintable(key) || !isOneKey)
+    if (key.empty() || key.size() > maxKeyLength || !isPrintable(key) || !isOneKey)
         return Model::fail(ResultCode::BadIdempotencyKey, "");
     request->claimKey_ = "claim/" + request->service_.value() + "/" + key;
     request->requestHash_
@@ -158,8 +159,8 @@
     return request;
 }
 
-std::optional<CallerRequest> readHandedOver(const EntrySnapshot &snapshot,
-                                            Http::IncomingRequest incoming)
+std::optional<CallerRequest> readForwardedRequest(const EntrySnapshot &snapshot,
+                                                  Http::IncomingRequest incoming)
 {
     const std::string id = header(incoming.message_, Http::requestIdHeader);
     const std::string caller = header(incoming.message_, Http::callerHeader);
@@ -175,7 +176,8 @@
     request->class_ = classFor(*snapshot.table_, request->caller_);
     request->deadline_ = request->arrivedAt_ + *left;
     const auto region = snapshot.regionIndex_.find(Model::RegionId(origin));
-    request->origin_ = region == snapshot.regionIndex_.end() ? snapshot.ownRegion_ : region->second;
+    request->origin_
+        = region == snapshot.regionIndex_.end() ? snapshot.localRegion_ : region->second;
     const auto &domains = snapshot.table_->domains();
     for (std::size_t i = 0; i < domains.size(); ++i) {
         if (domains[i].id_.value() == domain)
--- a/Services/Entryd/CrashGuard.cpp
+++ b/Services/Entryd/CrashGuard.cpp
@@ -26,7 +26,7 @@
     return {text.data(), text.size()};
 }
 
-/// Callers name entries by address, so the host says nothing of what they ask for.
+/// Leaves out the host: callers address entries, so it does not identify the requested resource.
 Policy::RequestText textOf(const CallerRequest &request)
 {
     Policy::RequestText text;
@@ -37,18 +37,19 @@
     return text;
 }
 
-std::uint32_t headOf(CallerRequest &request)
+std::uint32_t cachedFingerprintPrefix(CallerRequest &request)
 {
-    if (!request.head_)
-        request.head_ = Policy::headOf(textOf(request));
-    return *request.head_;
+    if (!request.cachedFingerprintPrefix_)
+        request.cachedFingerprintPrefix_ = Policy::headOf(textOf(request));
+    return *request.cachedFingerprintPrefix_;
 }
 
-const RequestPrint &printOf(CallerRequest &request)
+const RequestPrint &cachedFingerprint(CallerRequest &request)
 {
-    if (!request.print_)
-        request.print_ = Policy::printOf(textOf(request), headOf(request));
-    return *request.print_;
+    if (!request.cachedFingerprint_)
+        request.cachedFingerprint_
+            = Policy::printOf(textOf(request), cachedFingerprintPrefix(request));
+    return *request.cachedFingerprint_;
 }
 
 } // namespace
@@ -56,7 +57,7 @@
 bool CrashGuard::mayBeSuspect(CallerRequest &request) const
 {
     return !isEmpty_ && view_.read([&](const Policy::CrashView *view) {
-        return view && view->mayHold(headOf(request));
+        return view && view->mayHold(cachedFingerprintPrefix(request));
     });
 }
 
@@ -64,61 +65,62 @@
 {
     if (!mayBeSuspect(request))
         return std::nullopt;
-    const RequestPrint &print = printOf(request);
+    const RequestPrint &fingerprint = cachedFingerprint(request);
     const auto found = view_.read([&](const Policy::CrashView *view) {
-        return Policy::standingOf(*view, print, now);
+        return Policy::standingOf(*view, fingerprint, now);
     });
-    Milliseconds comeBack = Policy::comeBackFromTrial;
+    Milliseconds retryDelay = Policy::comeBackFromTrial;
     switch (found.standing_) {
     case RequestStanding::Free:
         return std::nullopt;
     case RequestStanding::Trial:
-        // What lost a target beside another request is sent on all the same.
-        if (request.isOnTrial_ || attempts > 0)
+        // A retried request, which may only have shared the lost target with the suspect one, is
+        // still sent.
+        if (request.isSerializedProbe_ || attempts > 0)
             return std::nullopt;
-        request.isOnTrial_ = !isTrialHeld_.exchange(true);
-        if (request.isOnTrial_)
+        request.isSerializedProbe_ = !isProbeInProgress_.exchange(true);
+        if (request.isSerializedProbe_)
             return std::nullopt;
         break;
     case RequestStanding::Pending:
     case RequestStanding::Quarantined:
-        comeBack = std::chrono::duration_cast<Milliseconds>(found.until_ - now) + Milliseconds(1);
+        retryDelay = std::chrono::duration_cast<Milliseconds>(found.until_ - now) + Milliseconds(1);
         break;
     }
-    ++kept_;
-    return comeBack;
+    ++refusedRequests_;
+    return retryDelay;
 }
 
-void CrashGuard::release(CallerRequest &request)
+void CrashGuard::releaseProbe(CallerRequest &request)
 {
-    if (std::exchange(request.isOnTrial_, false))
-        isTrialHeld_ = false;
+    if (std::exchange(request.isSerializedProbe_, false))
+        isProbeInProgress_ = false;
 }
 
 bool CrashGuard::noteLost(CallerRequest &request, const TargetState &target, SteadyTime now)
 {
-    // The end of a target that leaves is no crash.
+    // The exit of a leaving target is not a crash.
     if (target.isLeaving_)
         return false;
-    const RequestPrint &print = printOf(request);
+    const RequestPrint &fingerprint = cachedFingerprint(request);
     const std::lock_guard lock(mutex_);
     hasLosses_ = true;
-    Losses &losses = losses_[target.target_.id_];
+    LostConnections &losses = losses_[target.target_.id_];
     const Model::Incarnation incarnation(target.incarnation_);
     if (losses.incarnation_ != incarnation || now - losses.lostAt_ > Policy::lossMemory)
         losses = {};
     losses.incarnation_ = incarnation;
     losses.lostAt_ = now;
-    if (losses.prints_.size() < Policy::mostSuspects)
-        losses.prints_.push_back(print);
+    if (losses.fingerprints_.size() < Policy::mostSuspects)
+        losses.fingerprints_.push_back(fingerprint);
     std::string name(textOf(request.message_.method_string()));
     name += " " + std::string(textOf(request.message_.target()));
-    Policy::remember(names_, print, name + " of " + request.caller_.value());
-    if (losses.hasEnded_) {
-        recordEnd(target, losses, now);
+    Policy::remember(names_, fingerprint, name + " of " + request.caller_.value());
+    if (losses.hasCrashed_) {
+        recordCrash(target, losses, now);
         return false;
     }
-    return !std::exchange(losses.isKnockedAt_, true);
+    return !std::exchange(losses.isListenCheckPending_, true);
 }
 
 void CrashGuard::noteListening(const TargetState &target, Http::Listening listening, SteadyTime now)
@@ -127,9 +129,9 @@
     const auto found = losses_.find(target.target_.id_);
     if (found == losses_.end())
         return;
-    found->second.isKnockedAt_ = false;
+    found->second.isListenCheckPending_ = false;
     if (listening == Http::Listening::No)
-        recordEnd(target, found->second, now);
+        recordCrash(target, found->second, now);
 }
 
 void CrashGuard::noteAlive(const TargetState &target, SteadyTime now)
@@ -140,28 +142,29 @@
     const auto found = losses_.find(target.target_.id_);
     if (found == losses_.end())
         return;
-    Losses &losses = found->second;
-    const bool isOtherRun = losses.incarnation_.value() != 0
-                            && losses.incarnation_ != Model::Incarnation(target.incarnation_);
-    if (isOtherRun && now - losses.lostAt_ <= Policy::lossMemory)
-        recordEnd(target, losses, now);
-    if (isOtherRun)
+    LostConnections &losses = found->second;
+    const bool isOtherIncarnation
+        = losses.incarnation_.value() != 0
+          && losses.incarnation_ != Model::Incarnation(target.incarnation_);
+    if (isOtherIncarnation && now - losses.lostAt_ <= Policy::lossMemory)
+        recordCrash(target, losses, now);
+    if (isOtherIncarnation)
         losses_.erase(found);
 }
 
-void CrashGuard::recordEnd(const TargetState &target, Losses &losses, SteadyTime now)
+void CrashGuard::recordCrash(const TargetState &target, LostConnections &losses, SteadyTime now)
 {
-    if (!std::exchange(losses.hasEnded_, true)) {
-        ++endedTargets_;
+    if (!std::exchange(losses.hasCrashed_, true)) {
+        ++crashedTargets_;
         Observe::logEvent(
             Event::TargetEnded,
             {{"target", target.target_.id_.value()},
-             {"in_progress", std::to_string(losses.prints_.size())},
-             {"print", losses.prints_.empty() ? "" : toText(losses.prints_.front())}});
+             {"in_progress", std::to_string(losses.fingerprints_.size())},
+             {"print", losses.fingerprints_.empty() ? "" : toText(losses.fingerprints_.front())}});
     }
-    Policy::noteEnded(book_, Policy::runKeyOf(target.target_.id_, losses.incarnation_),
-                      losses.prints_, now);
-    losses.prints_.clear();
+    Policy::noteEnded(crashRecords_, Policy::runKeyOf(target.target_.id_, losses.incarnation_),
+                      losses.fingerprints_, now);
+    losses.fingerprints_.clear();
     isStale_ = true;
     ++changes_;
 }
@@ -170,27 +173,28 @@
 {
     if (!mayBeSuspect(request))
         return;
-    const RequestPrint &print = printOf(request);
+    const RequestPrint &fingerprint = cachedFingerprint(request);
     const std::lock_guard lock(mutex_);
-    const bool wasChanged = std::exchange(book_.isChanged_, false);
-    if (Policy::noteAnswered(book_, print, now)) {
-        Observe::logEvent(Event::QuarantineLifted, {{"print", toText(print)}, {"by", "answer"}});
+    const bool wasChanged = std::exchange(crashRecords_.isChanged_, false);
+    if (Policy::noteAnswered(crashRecords_, fingerprint, now)) {
+        Observe::logEvent(Event::QuarantineLifted,
+                          {{"print", toText(fingerprint)}, {"by", "answer"}});
     }
-    changes_ += book_.isChanged_ ? 1 : 0;
-    isStale_ |= book_.isChanged_;
-    book_.isChanged_ |= wasChanged;
+    changes_ += crashRecords_.isChanged_ ? 1 : 0;
+    isStale_ |= crashRecords_.isChanged_;
+    crashRecords_.isChanged_ |= wasChanged;
 }
 
-void CrashGuard::hear(const Policy::CrashNews &news, SteadyTime now)
+void CrashGuard::applyUpdate(const Policy::CrashNews &update, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
-    isStale_ |= Policy::takeIn(book_, news, now);
+    isStale_ |= Policy::takeIn(crashRecords_, update, now);
 }
 
-Policy::CrashNews CrashGuard::news(SteadyTime now) const
+Policy::CrashNews CrashGuard::makeUpdate(SteadyTime now) const
 {
     const std::lock_guard lock(mutex_);
-    return Policy::newsOf(book_, now);
+    return Policy::newsOf(crashRecords_, now);
 }
 
 void CrashGuard::step(SteadyTime now)
@@ -202,23 +206,23 @@
             return now - entry.second.lostAt_ > Policy::lossMemory;
         });
         hasLosses_ = !losses_.empty();
-        if (!isStale_ && book_.pending_.empty() && now - judgedAt_ <= Policy::reviewPause)
+        if (!isStale_ && crashRecords_.pending_.empty() && now - reviewedAt_ <= Policy::reviewPause)
             return;
-        judgedAt_ = now;
+        reviewedAt_ = now;
         isStale_ = false;
-        const auto verdicts = Policy::judge(book_, now);
-        for (const auto &print : verdicts.quarantined_) {
+        const auto decisions = Policy::judge(crashRecords_, now);
+        for (const auto &fingerprint : decisions.quarantined_) {
             Observe::logEvent(
                 Event::RequestQuarantined,
-                {{"print", toText(print)}, {"request", Policy::nameOf(names_, print)}});
+                {{"print", toText(fingerprint)}, {"request", Policy::nameOf(names_, fingerprint)}});
         }
-        for (const auto &print : verdicts.lifted_) {
+        for (const auto &fingerprint : decisions.lifted_) {
             Observe::logEvent(
                 Event::QuarantineLifted,
-                {{"print", toText(print)}, {"by", "another request explains its ends"}});
+                {{"print", toText(fingerprint)}, {"by", "another request explains its ends"}});
         }
-        changes_ += verdicts.quarantined_.size() + verdicts.lifted_.size();
-        view = std::make_unique<Policy::CrashView>(Policy::viewOf(book_, now));
+        changes_ += decisions.quarantined_.size() + decisions.lifted_.size();
+        view = std::make_unique<Policy::CrashView>(Policy::viewOf(crashRecords_, now));
         if (view->isEmpty() && isEmpty_)
             return;
     }
@@ -232,13 +236,13 @@
     const auto now = steadyNow();
     const std::lock_guard lock(mutex_);
     json quarantined = json::array();
-    for (const auto &[print, quarantine] : book_.quarantines_) {
+    for (const auto &[fingerprint, quarantine] : crashRecords_.quarantines_) {
         const auto left = Policy::inForceUntil(quarantine) - now;
         if (left <= SteadyTime::duration(0))
             continue;
         quarantined.push_back(
-            {{"print", toText(print)},
-             {"request", Policy::nameOf(names_, print)},
+            {{"print", toText(fingerprint)},
+             {"request", Policy::nameOf(names_, fingerprint)},
              {"generation", quarantine.generation_},
              {"left_ms", std::chrono::duration_cast<Milliseconds>(left).count()}});
     }
@@ -246,14 +250,15 @@
     return all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-bool CrashGuard::lift(const RequestPrint &print)
+bool CrashGuard::releaseQuarantine(const RequestPrint &fingerprint)
 {
     const std::lock_guard lock(mutex_);
-    if (!Policy::liftQuarantine(book_, print, steadyNow())) {
-        Model::fail(Model::ResultCode::UnknownRow, "no quarantine of " + toText(print));
+    if (!Policy::liftQuarantine(crashRecords_, fingerprint, steadyNow())) {
+        Model::fail(Model::ResultCode::UnknownRow, "no quarantine of " + toText(fingerprint));
         return false;
     }
-    Observe::logEvent(Event::QuarantineLifted, {{"print", toText(print)}, {"by", "operator"}});
+    Observe::logEvent(Event::QuarantineLifted,
+                      {{"print", toText(fingerprint)}, {"by", "operator"}});
     isStale_ = true;
     ++changes_;
     return true;
@@ -264,9 +269,10 @@
     const auto now = steadyNow();
     const std::lock_guard lock(mutex_);
     return static_cast<std::size_t>(
-        std::count_if(book_.quarantines_.begin(), book_.quarantines_.end(), [&](const auto &entry) {
-            return Policy::inForceUntil(entry.second) > now;
-        }));
+        std::count_if(crashRecords_.quarantines_.begin(), crashRecords_.quarantines_.end(),
+                      [&](const auto &entry) {
+                          return Policy::inForceUntil(entry.second) > now;
+                      }));
 }
 
 } // namespace Entryd
--- a/Services/Entryd/CrashGuard.h
+++ b/Services/Entryd/CrashGuard.h
@@ -14,77 +14,78 @@
 
 namespace Entryd {
 
-/// Keeps requests under which targets end from further targets, for all threads of the entry.
+/// Stops poison requests, which crash the targets that process them, from reaching further targets.
+/// All threads of the entry share one guard.
 ///
-/// Requests are checked against an immutable view; the lock is taken only where a connection broke
-/// or a suspect was answered. Thread safety: any thread, but step() belongs to one.
+/// Requests are checked against an immutable view; the lock is taken only when a connection breaks
+/// or a suspect request is answered. Thread safety: any thread, but step() only from a single one.
 class CrashGuard
 {
 public:
-    /// Returns when a request that may not be sent to a target now is to come back, or nothing if
-    /// it may be sent; it is to be released when it is done with targets. \a attempts says how many
-    /// were made. Precondition: the calling thread has an RcuReader.
+    /// Returns the retry delay of a request that may not be sent to a target now, or std::nullopt
+    /// if it may be sent. The caller must call releaseProbe() after the last attempt. \a attempts
+    /// is the number of attempts made so far. Precondition: the calling thread has an RcuReader.
     std::optional<Model::Milliseconds> check(CallerRequest &request, int attempts,
                                              Model::SteadyTime now);
-    void release(CallerRequest &request);
+    void releaseProbe(CallerRequest &request);
 
-    /// Takes in that the connection to \a target broke while \a request was in progress there.
-    /// Returns whether the target is to be asked if it still listens; noteListening() takes the
-    /// answer.
+    /// Records that the connection to \a target broke while \a request was in progress there.
+    /// Returns whether the caller must check if the target still listens and pass the result to
+    /// noteListening().
     bool noteLost(CallerRequest &request, const TargetState &target, Model::SteadyTime now);
     void noteListening(const TargetState &target, Http::Listening listening, Model::SteadyTime now);
-    /// Takes in that \a target answered, whatever it was asked: if it is another run by now, the
-    /// one before has ended.
+    /// Records that \a target answered any request: a new incarnation means that the previous one
+    /// has crashed.
     void noteAlive(const TargetState &target, Model::SteadyTime now);
-    /// Takes in that a target has worked on \a request and answered.
+    /// Records that a target processed and answered \a request.
     /// Precondition: the calling thread has an RcuReader.
     void noteAnswered(CallerRequest &request, Model::SteadyTime now);
 
-    /// Makes the verdicts that are due and publishes what requests are checked against.
+    /// Makes the quarantine decisions that are due and publishes the view that check() reads.
     void step(Model::SteadyTime now);
-    /// Takes in what the control process told.
-    void hear(const Policy::CrashNews &news, Model::SteadyTime now);
-    Policy::CrashNews news(Model::SteadyTime now) const;
-    /// Returns a number that grows with each change of what others should hear.
+    /// Applies a crash update received from the control process.
+    void applyUpdate(const Policy::CrashNews &update, Model::SteadyTime now);
+    Policy::CrashNews makeUpdate(Model::SteadyTime now) const;
+    /// Returns a counter that grows with each change that peers should receive.
     std::uint64_t changes() const { return changes_; }
 
-    /// Returns, as JSON, the requests in quarantine.
+    /// Returns the quarantined requests as JSON.
     std::string listText() const;
-    /// Lifts a quarantine for an operator. Returns false, with UnknownRow as the last reason, if
-    /// there is none in force.
-    bool lift(const Policy::RequestPrint &print);
+    /// Releases a quarantine on an operator's command. Returns false, with UnknownRow as the last
+    /// reason, if none is in force.
+    bool releaseQuarantine(const Policy::RequestPrint &fingerprint);
 
-    std::uint64_t kept() const { return kept_; }
-    std::uint64_t endedTargets() const { return endedTargets_; }
+    std::uint64_t refusedRequests() const { return refusedRequests_; }
+    std::uint64_t crashedTargets() const { return crashedTargets_; }
     std::size_t quarantined() const;
 
 private:
-    /// Requests that lost their connection to one run of a target.
-    struct Losses
+    /// The requests that lost their connection to one incarnation of a target.
+    struct LostConnections
     {
         Model::Incarnation incarnation_;
-        std::vector<Policy::RequestPrint> prints_;
+        std::vector<Policy::RequestPrint> fingerprints_;
         Model::SteadyTime lostAt_;
-        bool isKnockedAt_ = false;
-        bool hasEnded_ = false;
+        bool isListenCheckPending_ = false;
+        bool hasCrashed_ = false;
     };
 
-    void recordEnd(const TargetState &target, Losses &losses, Model::SteadyTime now);
+    void recordCrash(const TargetState &target, LostConnections &losses, Model::SteadyTime now);
     bool mayBeSuspect(CallerRequest &request) const;
 
     mutable std::mutex mutex_;
-    Policy::CrashBook book_;
-    std::map<Model::TargetId, Losses> losses_;
+    Policy::CrashBook crashRecords_;
+    std::map<Model::TargetId, LostConnections> losses_;
     Policy::RequestNames names_;
-    Model::SteadyTime judgedAt_ = Model::longAgo;
+    Model::SteadyTime reviewedAt_ = Model::longAgo;
     bool isStale_ = false;
     Concurrency::RcuCell<Policy::CrashView> view_;
     std::atomic<bool> isEmpty_{true};
     std::atomic<bool> hasLosses_{false};
-    std::atomic<bool> isTrialHeld_{false};
+    std::atomic<bool> isProbeInProgress_{false};
     std::atomic<std::uint64_t> changes_{0};
-    std::atomic<std::uint64_t> kept_{0};
-    std::atomic<std::uint64_t> endedTargets_{0};
+    std::atomic<std::uint64_t> refusedRequests_{0};
+    std::atomic<std::uint64_t> crashedTargets_{0};
 };
 
 } // namespace Entryd
--- a/Services/Entryd/Dispatcher.cpp
+++ b/Services/Entryd/Dispatcher.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr Milliseconds tickPause{2};
-constexpr Milliseconds idleTickPause{20};
+constexpr Milliseconds tickInterval{2};
+constexpr Milliseconds idleTickInterval{20};
 Model::SteadyTime steadyNow()
 {
     return std::chrono::steady_clock::now();
@@ -21,50 +21,51 @@
     return {text.data(), text.size()};
 }
 
-Verdict notRun(ResultCode code, Milliseconds comeBack)
+RequestResult notRun(ResultCode code, Milliseconds retryDelay)
 {
-    Verdict verdict;
-    verdict.outcome_ = Outcome::NotRun;
-    verdict.code_ = code;
-    verdict.comeBack_ = comeBack;
-    return verdict;
+    RequestResult requestResult;
+    requestResult.outcome_ = Outcome::NotRun;
+    requestResult.code_ = code;
+    requestResult.retryDelay_ = retryDelay;
+    return requestResult;
 }
 
-/// Returns what may be said of a request when its last attempt ended with \a verdict.
+/// Returns the result of a request whose last attempt ended with \a requestResult.
 ///
-/// What goes wrong without it: the first attempt ran but its answer was lost, the second found no
-/// slot, and the caller was told "not run", which was true of the second attempt only.
-Verdict ofAllAttempts(Verdict verdict, const std::optional<ResultCode> &unknownBecause)
+/// Without this, a caller whose first attempt ran but lost its answer, and whose second attempt
+/// found no slot, receives "not run", which is true only of the second attempt.
+RequestResult resultOfAllAttempts(RequestResult requestResult,
+                                  const std::optional<ResultCode> &unknownCode)
 {
-    if (!unknownBecause || verdict.outcome_ != Outcome::NotRun)
-        return verdict;
-    verdict.outcome_ = Outcome::Unknown;
-    verdict.code_ = *unknownBecause;
-    verdict.comeBack_.reset();
-    return verdict;
+    if (!unknownCode || requestResult.outcome_ != Outcome::NotRun)
+        return requestResult;
+    requestResult.outcome_ = Outcome::Unknown;
+    requestResult.code_ = *unknownCode;
+    requestResult.retryDelay_.reset();
+    return requestResult;
 }
 
-/// Tells whether the outcome of earlier requests with the same key, if there were any, is open.
+/// Returns whether earlier requests with the same key may exist, so that their outcome is unknown.
 ///
-/// A caller that numbers its requests with "Request-Attempt: 1" says that there were none.
+/// A caller that sends "Request-Attempt: 1" declares that there are none.
 bool mayBeRepeat(const Http::Request &message)
 {
     const bool hasKey = message.count(viewOf(Http::idempotencyKeyHeader)) > 0;
     return hasKey && message[viewOf(Http::attemptHeader)] != "1";
 }
 
-/// As ofAllAttempts(), for requests that ended before the claim of their key could be read.
-Verdict beforeClaim(Verdict verdict, const CallerRequest &request)
+/// Like resultOfAllAttempts(), for requests that ended before the claim of their key was read.
+RequestResult resultBeforeClaim(RequestResult requestResult, const CallerRequest &request)
 {
     if (mayBeRepeat(request.message_))
-        verdict.outcome_ = Outcome::Unknown;
-    return verdict;
+        requestResult.outcome_ = Outcome::Unknown;
+    return requestResult;
 }
 
 } // namespace
 
 Dispatcher::Dispatcher(Http::asio::io_context &context, const Observe::Settings &settings,
-                       const SnapshotCell &cell, Planner &planner, ClaimKeeper &claims,
+                       const SnapshotCell &cell, Planner &planner, ClaimManager &claims,
                        CrashGuard &guard, SlotHints &hints, int threadNumber,
                        std::function<void(std::size_t)> wakeOthers)
     : context_(context)
@@ -78,7 +79,7 @@
     , pool_(context)
     , threadNumber_(threadNumber)
 {
-    // The start time makes ids of this run differ from those of every other run of the instance.
+    // The start time makes request ids unique across all incarnations of the instance.
     const auto startedAt = std::chrono::system_clock::now().time_since_epoch().count();
     idPrefix_ = settings.instance_.value() + "-" + std::to_string(startedAt) + "-"
                 + std::to_string(threadNumber) + "-";
@@ -122,140 +123,144 @@
     });
     if (!request)
         co_return refuse(version, refused);
-    Verdict verdict;
+    RequestResult requestResult;
     if (request->claimKey_.empty()) {
-        verdict = co_await carry(*request);
+        requestResult = co_await processRequest(*request);
     } else {
-        verdict = co_await carryClaimed(*request);
+        requestResult = co_await processClaimedRequest(*request);
     }
-    guard_.release(*request);
-    co_return toAnswer(std::move(verdict), *request, version);
+    guard_.releaseProbe(*request);
+    co_return toAnswer(std::move(requestResult), *request, version);
 }
 
 Http::Task<Http::Response> Dispatcher::answerEntry(Http::IncomingRequest incoming)
 {
     ++counters_.requests_;
-    ++counters_.takenOver_;
+    ++counters_.receivedForwarded_;
     const unsigned version = incoming.message_.version();
     auto request = cell_.read([&](const EntrySnapshot *snapshot) -> std::optional<CallerRequest> {
         if (!snapshot || !snapshot->isReady_)
             return Model::fail(ResultCode::NotReady, "");
-        return readHandedOver(*snapshot, std::move(incoming));
+        return readForwardedRequest(*snapshot, std::move(incoming));
     });
     if (!request)
         co_return refuse(version, Outcome::NotRun);
-    Verdict verdict = co_await carry(*request);
-    guard_.release(*request);
-    Http::Response answer = toAnswer(std::move(verdict), *request, version);
+    RequestResult requestResult = co_await processRequest(*request);
+    guard_.releaseProbe(*request);
+    Http::Response answer = toAnswer(std::move(requestResult), *request, version);
     answer.set(viewOf(Http::requestIdHeader), request->id_.value());
     co_return answer;
 }
 
-Http::Task<Verdict> Dispatcher::carryClaimed(CallerRequest &request)
+Http::Task<RequestResult> Dispatcher::processClaimedRequest(CallerRequest &request)
 {
-    // What ran under the key before is answered, whatever became of targets since; a first request
-    // need not ask for it.
+    // A repeated key is replayed from its claim even if the request is quarantined; only a first
+    // request is checked here.
     if (!mayBeRepeat(request.message_)) {
-        if (const auto comeBack = guard_.check(request, 0, steadyNow()))
-            co_return notRun(ResultCode::Quarantined, *comeBack);
+        if (const auto retryDelay = guard_.check(request, 0, steadyNow()))
+            co_return notRun(ResultCode::Quarantined, *retryDelay);
     }
-    // A request that would be refused anyway must not cost the store two writes.
+    // A request that would be rejected anyway must not cost the store two writes.
     ServiceQueue &queue = queueFor(request);
-    if (queue.wouldRefuse(request))
-        co_return beforeClaim(notRun(ResultCode::OverCapacity, queue.comeBackAfter()), request);
+    if (queue.wouldReject(request))
+        co_return resultBeforeClaim(notRun(ResultCode::OverCapacity, queue.estimatedRetryDelay()),
+                                    request);
 
     const Platform::ClaimResult held = co_await claims_.claim(request);
     if (!held.verdict_)
-        co_return beforeClaim(notRun(ResultCode::StoreUnavailable, Milliseconds(1000)), request);
-    Verdict verdict;
+        co_return resultBeforeClaim(notRun(ResultCode::StoreUnavailable, Milliseconds(1000)),
+                                    request);
+    RequestResult requestResult;
     switch (*held.verdict_) {
     case Policy::ClaimVerdict::Replay: {
         const auto status = static_cast<Http::http::status>(held.claim_.answerStatus_);
-        verdict.outcome_ = Outcome::Run;
-        verdict.answer_
+        requestResult.outcome_ = Outcome::Run;
+        requestResult.answer_
             = Http::textAnswer(status, held.claim_.answerType_, held.claim_.answerBody_, 11);
-        co_return verdict;
+        co_return requestResult;
     }
     case Policy::ClaimVerdict::OtherRequest:
         co_return notRun(ResultCode::KeyReusedWithOtherBody, Milliseconds(0));
     case Policy::ClaimVerdict::Unknown:
-        verdict.outcome_ = Outcome::Unknown;
-        verdict.code_ = ResultCode::KeyOutcomeUnknown;
-        co_return verdict;
+        requestResult.outcome_ = Outcome::Unknown;
+        requestResult.code_ = ResultCode::KeyOutcomeUnknown;
+        co_return requestResult;
     case Policy::ClaimVerdict::Proceed:
     case Policy::ClaimVerdict::TakeOver:
         break;
     }
 
-    verdict = co_await carry(request);
+    requestResult = co_await processRequest(request);
     Policy::Claim outcome;
-    outcome.state_
-        = verdict.outcome_ == Outcome::Run ? Policy::ClaimState::Run : Policy::ClaimState::Released;
-    if (verdict.outcome_ == Outcome::Unknown)
-        co_return verdict;
-    if (verdict.answer_) {
-        outcome.answerStatus_ = static_cast<int>(verdict.answer_->result_int());
-        const auto type = (*verdict.answer_)[Http::http::field::content_type];
+    outcome.state_ = requestResult.outcome_ == Outcome::Run ? Policy::ClaimState::Run
+                                                            : Policy::ClaimState::Released;
+    if (requestResult.outcome_ == Outcome::Unknown)
+        co_return requestResult;
+    if (requestResult.answer_) {
+        outcome.answerStatus_ = static_cast<int>(requestResult.answer_->result_int());
+        const auto type = (*requestResult.answer_)[Http::http::field::content_type];
         outcome.answerType_ = std::string(type.data(), type.size());
-        outcome.answerBody_ = verdict.answer_->body();
+        outcome.answerBody_ = requestResult.answer_->body();
     }
-    claims_.settle(request, held, std::move(outcome));
-    co_return verdict;
+    claims_.resolveInBackground(request, held, std::move(outcome));
+    co_return requestResult;
 }
 
-Http::Task<Verdict> Dispatcher::carry(CallerRequest &request)
+Http::Task<RequestResult> Dispatcher::processRequest(CallerRequest &request)
 {
     Policy::earnRetryCredit(retryBudget_);
     ServiceQueue &queue = queueFor(request);
     int attempts = 0;
-    std::optional<ResultCode> unknownBecause;
+    std::optional<ResultCode> unknownCode;
     while (true) {
-        if (const auto comeBack = guard_.check(request, attempts, steadyNow())) {
-            Verdict verdict = notRun(ResultCode::Quarantined, *comeBack);
-            co_return ofAllAttempts(std::move(verdict), unknownBecause);
+        if (const auto retryDelay = guard_.check(request, attempts, steadyNow())) {
+            RequestResult requestResult = notRun(ResultCode::Quarantined, *retryDelay);
+            co_return resultOfAllAttempts(std::move(requestResult), unknownCode);
         }
         const auto waitingSince = steadyNow();
         Placement placement = co_await queue.place(request);
         counters_.waiting_.add(
             std::chrono::duration_cast<Model::Microseconds>(steadyNow() - waitingSince));
-        if (const auto *givenUp = std::get_if<GivenUp>(&placement)) {
-            Verdict verdict = notRun(givenUp->code_, givenUp->comeBack_);
-            co_return ofAllAttempts(std::move(verdict), unknownBecause);
+        if (const auto *rejection = std::get_if<Rejection>(&placement)) {
+            RequestResult requestResult = notRun(rejection->code_, rejection->retryDelay_);
+            co_return resultOfAllAttempts(std::move(requestResult), unknownCode);
         }
 
         ++attempts;
         bool isRefusedAsFull = false;
         const bool holdsCredit
             = Policy::holdRetryCredit(retryBudget_, request.isIdempotent_, attempts);
-        Verdict verdict = co_await attempt(request, std::move(placement), {attempts, holdsCredit},
-                                           isRefusedAsFull);
+        RequestResult requestResult = co_await attempt(request, std::move(placement),
+                                                       {attempts, holdsCredit}, isRefusedAsFull);
         if (holdsCredit)
             Policy::giveBackRetryCredit(retryBudget_);
-        if (verdict.outcome_ == Outcome::Run)
-            co_return verdict;
-        // A target without a free slot is no failure: the request goes back to waiting for one.
+        if (requestResult.outcome_ == Outcome::Run)
+            co_return requestResult;
+        // A target without a free slot is not a failure: the request returns to the queue.
         if (isRefusedAsFull) {
             --attempts;
             ++counters_.refusedByTargets_;
             continue;
         }
-        if (verdict.outcome_ == Outcome::Unknown)
-            unknownBecause = verdict.code_;
-        // Another region's word against the request holds here too.
-        if (verdict.code_ == ResultCode::Quarantined)
-            co_return ofAllAttempts(std::move(verdict), unknownBecause);
-        if (!Policy::mayRetry(retryBudget_, verdict.outcome_, request.isIdempotent_, attempts))
-            co_return ofAllAttempts(std::move(verdict), unknownBecause);
+        if (requestResult.outcome_ == Outcome::Unknown)
+            unknownCode = requestResult.code_;
+        // A quarantine decision of another region applies here too.
+        if (requestResult.code_ == ResultCode::Quarantined)
+            co_return resultOfAllAttempts(std::move(requestResult), unknownCode);
+        if (!Policy::mayRetry(retryBudget_, requestResult.outcome_, request.isIdempotent_,
+                              attempts))
+            co_return resultOfAllAttempts(std::move(requestResult), unknownCode);
         ++counters_.retries_;
     }
 }
 
-Http::Response Dispatcher::toAnswer(Verdict verdict, const CallerRequest &request, unsigned version)
+Http::Response Dispatcher::toAnswer(RequestResult requestResult, const CallerRequest &request,
+                                    unsigned version)
 {
     const auto taken
         = std::chrono::duration_cast<Model::Microseconds>(steadyNow() - request.arrivedAt_);
     counters_.latency_.add(taken);
-    switch (verdict.outcome_) {
+    switch (requestResult.outcome_) {
     case Outcome::Run:
         ++counters_.run_;
         break;
@@ -267,19 +272,20 @@
         ++counters_.unknown_;
         break;
     }
-    Http::Response answer = verdict.answer_
-                                ? std::move(*verdict.answer_)
-                                : Http::refusal(Model::Reason{verdict.code_, ""}, version);
+    Http::Response answer = requestResult.answer_
+                                ? std::move(*requestResult.answer_)
+                                : Http::refusal(Model::Reason{requestResult.code_, ""}, version);
     answer.version(version);
-    if (verdict.comeBack_ && verdict.comeBack_->count() > 0) {
-        const auto seconds = (verdict.comeBack_->count() + 999) / 1000;
+    if (requestResult.retryDelay_ && requestResult.retryDelay_->count() > 0) {
+        const auto seconds = (requestResult.retryDelay_->count() + 999) / 1000;
         answer.set(Http::http::field::retry_after, std::to_string(seconds));
-        answer.set(viewOf(Http::comeBackHeader), std::to_string(verdict.comeBack_->count()));
+        answer.set(viewOf(Http::comeBackHeader),
+                   std::to_string(requestResult.retryDelay_->count()));
     }
-    answer.set(viewOf(Http::outcomeHeader), std::string(toText(verdict.outcome_)));
-    answer.set(viewOf(Http::codeHeader), std::to_string(Model::number(verdict.code_)));
+    answer.set(viewOf(Http::outcomeHeader), std::string(toText(requestResult.outcome_)));
+    answer.set(viewOf(Http::codeHeader), std::to_string(Model::number(requestResult.code_)));
     answer.set(viewOf(Http::instanceHeader), settings_.instance_.value());
-    // The answer to HEAD names the length of a body that is not there.
+    // The answer to HEAD states the length of a body that it does not carry.
     if (request.message_.method() != Http::http::verb::head)
         answer.prepare_payload();
     return answer;
@@ -291,7 +297,7 @@
     slot.release();
     ServiceQueue &queue = *queues_[target->target_.service_];
     queue.countFinished();
-    if (hints_.leaveToOthers(serviceIndex, *target))
+    if (hints_.yieldFreedSlot(serviceIndex, *target))
         return;
     queue.pump();
     noteWaiting(serviceIndex, queue);
@@ -335,13 +341,13 @@
             });
             if (queue->waiting() > 0) {
                 anyWaiting = true;
-                // Slots that other entries gave back are found by trying.
-                queue->giveUpExpired();
+                // Slots released by other entries are found by trying.
+                queue->rejectExpired();
                 queue->pump();
             }
             noteWaiting(index, *queue);
         }
-        const Milliseconds pause = anyWaiting ? tickPause : idleTickPause;
+        const Milliseconds pause = anyWaiting ? tickInterval : idleTickInterval;
         const auto wakeAt = steadyNow() + pause;
         co_await Http::sleepFor(pause);
         counters_.loopLag_.add(
--- a/Services/Entryd/EntryCounters.h
+++ b/Services/Entryd/EntryCounters.h
@@ -8,10 +8,10 @@
 
 namespace Entryd {
 
-/// What one thread counted; the readout adds the threads up.
+/// The counters of one thread; the metrics carry one series per thread.
 ///
-/// Thread safety: the atomics are written by one thread and read by any; the summary belongs to the
-/// writing thread.
+/// Thread safety: the atomics are written by one thread and read by any; the summaries belong to
+/// the writing thread.
 struct EntryCounters
 {
     std::atomic<std::uint64_t> requests_{0};
@@ -20,17 +20,18 @@
     std::atomic<std::uint64_t> unknown_{0};
     std::atomic<std::uint64_t> retries_{0};
     std::atomic<std::uint64_t> refusedByTargets_{0};
-    std::atomic<std::uint64_t> handedOver_{0};
-    std::atomic<std::uint64_t> takenOver_{0};
+    std::atomic<std::uint64_t> forwardedRequests_{0};
+    std::atomic<std::uint64_t> receivedForwarded_{0};
     std::atomic<std::uint64_t> foreignAnswers_{0};
-    /// Attempts whose target was known to leave before the first byte was sent, or the last.
+    /// Attempts withdrawn because the target was leaving before the first or the last byte was
+    /// sent.
     std::atomic<std::uint64_t> withdrawn_{0};
     Observe::DurationSummary latency_;
     Observe::DurationSummary waiting_;
-    /// From a request's arrival to the moment at which its refusal is ready.
+    /// Time from a request's arrival until its refusal is ready.
     Observe::DurationSummary refusing_;
-    /// How much later than asked a pause of the thread ended: how long whatever arrives has to wait
-    /// before this thread looks at it.
+    /// How late a timer of the thread fires: the delay before this thread handles an arriving
+    /// event.
     Observe::DurationSummary loopLag_;
 };
 
--- a/Services/Entryd/EntrySnapshot.cpp
+++ b/Services/Entryd/EntrySnapshot.cpp
@@ -6,9 +6,9 @@
 {
     const auto *place = snapshot.blocks_ ? snapshot.blocks_->placeOf(remoteHost) : nullptr;
     if (!place)
-        return snapshot.ownRegion_;
+        return snapshot.localRegion_;
     const auto found = snapshot.regionIndex_.find(place->region_);
-    return found == snapshot.regionIndex_.end() ? snapshot.ownRegion_ : found->second;
+    return found == snapshot.regionIndex_.end() ? snapshot.localRegion_ : found->second;
 }
 
 } // namespace Entryd
--- a/Services/Entryd/EntryThread.cpp
+++ b/Services/Entryd/EntryThread.cpp
@@ -19,8 +19,8 @@
 } // namespace
 
 EntryThread::EntryThread(const Observe::Settings &settings, const SnapshotCell &cell,
-                         Planner &planner, ClaimKeeper &claims, CrashGuard &guard, SlotHints &hints,
-                         int number, std::function<void(std::size_t)> wakeOthers)
+                         Planner &planner, ClaimManager &claims, CrashGuard &guard,
+                         SlotHints &hints, int number, std::function<void(std::size_t)> wakeOthers)
     : settings_(settings)
     , number_(number)
     , dispatcher_(context_, settings, cell, planner, claims, guard, hints, number,
@@ -133,9 +133,9 @@
                  "Attempts that a full or draining target refused before starting.",
                  counters.refusedByTargets_);
         addCount("cassiacrank_entry_handed_over_total", "Attempts given to other regions.",
-                 counters.handedOver_);
+                 counters.forwardedRequests_);
         addCount("cassiacrank_entry_taken_over_total", "Requests taken from other regions.",
-                 counters.takenOver_);
+                 counters.receivedForwarded_);
         addCount("cassiacrank_entry_foreign_answers_total",
                  "Answers dropped because they belonged to another request.",
                  counters.foreignAnswers_);
--- a/Services/Entryd/Planner.cpp
+++ b/Services/Entryd/Planner.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Milliseconds stepPause{50};
-constexpr Milliseconds reportPause{100};
-/// Shares that are no further apart than this count as the same.
+constexpr Milliseconds stepInterval{50};
+constexpr Milliseconds reportInterval{100};
+/// Share vectors that are no further apart than this count as equal.
 constexpr double notableDistance = 1e-3;
 
 Model::SteadyTime steadyNow()
@@ -32,7 +32,7 @@
     return sum / 2;
 }
 
-/// A target keeps its state as long as its row says the same.
+/// Returns whether a target keeps its state: its row has not changed.
 bool isSameTarget(const Model::Target &a, const Model::Target &b)
 {
     return a.address_ == b.address_ && a.slots_ == b.slots_ && a.service_ == b.service_
@@ -74,7 +74,7 @@
     client_.stop();
     {
         const std::lock_guard lock(mutex_);
-        isOver_ = true;
+        isStopRequested_ = true;
         changed_.notify_all();
     }
     if (thread_.joinable())
@@ -84,8 +84,8 @@
 void Planner::onSnapshot(const cassiacrank::Snapshot &snapshot)
 {
     const std::lock_guard lock(mutex_);
-    const auto change = Peers::takeIn(arrived_, snapshot);
-    hasArrived_ = true;
+    const auto change = Peers::takeIn(receivedView_, snapshot);
+    hasReceivedView_ = true;
     if (change.tableChanged_)
         changed_.notify_all();
 }
@@ -93,23 +93,25 @@
 void Planner::run()
 {
     std::unique_lock lock(mutex_);
-    while (!isOver_) {
-        if (hasArrived_) {
-            view_ = arrived_;
-            hasArrived_ = false;
-            guard_.hear(view_.crashes_, steadyNow());
+    while (!isStopRequested_) {
+        if (hasReceivedView_) {
+            view_ = receivedView_;
+            hasReceivedView_ = false;
+            guard_.applyUpdate(view_.crashes_, steadyNow());
             updateTargets();
         }
         guard_.step(steadyNow());
         step();
         lock.unlock();
-        if (steadyNow() - reportedAt_ >= reportPause)
+        if (steadyNow() - reportedAt_ >= reportInterval)
             reportIfDue(makeReport());
         lock.lock();
         const Model::TableVersion seen
             = view_.table_ ? view_.table_->version() : Model::TableVersion(0);
-        changed_.wait_for(lock, stepPause, [&] {
-            return isOver_ || (hasArrived_ && arrived_.table_ && arrived_.table_->version() > seen);
+        changed_.wait_for(lock, stepInterval, [&] {
+            return isStopRequested_
+                   || (hasReceivedView_ && receivedView_.table_
+                       && receivedView_.table_->version() > seen);
         });
     }
 }
@@ -127,17 +129,17 @@
         const bool isKept = held != targets_.end() && isSameTarget(held->second->target_, target);
         next[target.id_] = isKept ? held->second : std::make_shared<TargetState>(target);
     }
-    // Requests that have chosen a target which is gone from the table hold it still.
+    // Requests in progress still hold targets that have been removed from the table.
     for (const auto &[id, state] : targets_) {
         const auto kept = next.find(id);
         if (kept == next.end() || kept->second != state)
             state->isLeaving_ = true;
     }
     targets_ = std::move(next);
-    applyMarks();
+    applyLeavingMarks();
 }
 
-void Planner::applyMarks()
+void Planner::applyLeavingMarks()
 {
     for (const auto &[id, incarnation] : view_.marks_.marks_) {
         const auto found = targets_.find(id);
@@ -155,7 +157,7 @@
 {
     if (!view_.table_)
         return;
-    const auto elapsed = Peers::beginStep(walks_, view_.isStarting_, steadyNow());
+    const auto elapsed = Peers::beginStep(shareRamps_, view_.isStarting_, steadyNow());
     auto snapshot = makeSnapshot(elapsed);
     isReady_ = snapshot->isReady_;
     takesCallers_ = snapshot->takesCallers_;
@@ -176,24 +178,25 @@
     for (std::size_t i = 0; i < table.regions().size(); ++i) {
         snapshot->regionIndex_[table.regions()[i].id_] = i;
         if (table.regions()[i].id_ == settings_.region_)
-            snapshot->ownRegion_ = i;
+            snapshot->localRegion_ = i;
     }
     for (const auto &record : view_.members_) {
         if (record.instance_.id_ != settings_.instance_)
-            snapshot->nearEntries_.push_back(record.instance_);
+            snapshot->localPeerEntries_.push_back(record.instance_);
     }
-    // Both ends of a pair rank each other alike, so hints go between the same few entries.
-    std::sort(snapshot->nearEntries_.begin(), snapshot->nearEntries_.end(),
+    // Both entries of a pair compute the same rank, so hints are exchanged between the same few
+    // entries.
+    std::sort(snapshot->localPeerEntries_.begin(), snapshot->localPeerEntries_.end(),
               [this](const auto &a, const auto &b) {
                   return pairRank(a.id_) < pairRank(b.id_);
               });
-    snapshot->handOver_.resize(table.domains().size());
+    snapshot->remoteEntries_.resize(table.domains().size());
     for (const auto &summary : view_.summaries_) {
         if (summary.region_ == settings_.region_)
             continue;
         for (std::size_t i = 0; i < table.domains().size(); ++i) {
             if (table.domains()[i].region_ == summary.region_)
-                snapshot->handOver_[i] = summary.contacts_;
+                snapshot->remoteEntries_[i] = summary.contacts_;
         }
     }
     const Model::WallTime now = wallNow();
@@ -251,7 +254,7 @@
             }
         }
         plan.outage_.isOut_[i] = !canServe;
-        bool &wasOut = knownOut_[{service.id_, domain.id_}];
+        bool &wasOut = loggedOutages_[{service.id_, domain.id_}];
         if (wasOut == !canServe || view_.isStarting_)
             continue;
         wasOut = !canServe;
@@ -260,12 +263,12 @@
     }
 }
 
-Model::Instance Planner::ownInstance() const
+Model::Instance Planner::localInstance() const
 {
-    Model::Instance own;
-    own.id_ = settings_.instance_;
-    own.region_ = settings_.region_;
-    return own;
+    Model::Instance local;
+    local.id_ = settings_.instance_;
+    local.region_ = settings_.region_;
+    return local;
 }
 
 OriginPlan Planner::planOrigin(const Model::Service &service, const Model::RegionId &origin,
@@ -278,20 +281,20 @@
     const bool isAnyOut = std::any_of(outage.isOut_.begin(), outage.isOut_.end(), [](bool isOut) {
         return isOut;
     });
-    Peers::ShareWalk &walk
-        = Peers::walkFor(walks_, view_, ownInstance(), {service.id_, origin}, planned);
+    Peers::ShareWalk &ramp
+        = Peers::walkFor(shareRamps_, view_, localInstance(), {service.id_, origin}, planned);
     const auto aim = Policy::goalShares(table, service.id_, origin, now, outage);
     const auto goal = isAnyOut ? aim : planned;
-    walk.shares_ = Policy::movedShares(table, walk.shares_, goal, caps, elapsed);
+    ramp.shares_ = Policy::movedShares(table, ramp.shares_, goal, caps, elapsed);
 
     OriginPlan plan;
-    plan.shares_ = walk.shares_;
-    plan.isMoving_ = areNotablyApart(walk.shares_, aim);
-    const double inASecond
-        = Policy::allowedProgress(table, walk.shares_, goal, caps, std::chrono::seconds(1));
-    const double seconds = inASecond > 0 ? 1.0 / inASecond : 1.0;
+    plan.shares_ = ramp.shares_;
+    plan.isMoving_ = areNotablyApart(ramp.shares_, aim);
+    const double progressPerSecond
+        = Policy::allowedProgress(table, ramp.shares_, goal, caps, std::chrono::seconds(1));
+    const double seconds = progressPerSecond > 0 ? 1.0 / progressPerSecond : 1.0;
     const Milliseconds wait(static_cast<long long>(seconds * 1000));
-    plan.comeBack_ = std::clamp(wait, Policy::leastComeBack, Policy::longestComeBack);
+    plan.retryDelay_ = std::clamp(wait, Policy::leastComeBack, Policy::longestComeBack);
     return plan;
 }
 
--- a/Services/Entryd/Planner.h
+++ b/Services/Entryd/Planner.h
@@ -13,13 +13,13 @@
 
 namespace Entryd {
 
-/// Tells whether two share vectors of one table differ by more than rounding does.
+/// Returns whether two share vectors of one table differ by more than rounding errors.
 ///
 /// Thread safety: any thread.
 bool areNotablyApart(const Policy::ShareVector &a, const Policy::ShareVector &b);
 
-/// Turns what the control process tells into the snapshots that requests read, moves the shares in
-/// small steps, and reports back.
+/// Builds the snapshots that request processing reads from the updates of the control process,
+/// shifts the shares gradually, and reports the entry's state to the control process.
 ///
 /// Thread safety: onSnapshot() and noteWaiting() may be called from any thread, the rest belongs to
 /// the thread that owns the object.
@@ -31,13 +31,13 @@
     Planner(const Planner &) = delete;
     Planner &operator=(const Planner &) = delete;
 
-    /// Begins to follow the control process.
+    /// Subscribes to the control process and starts the planner thread.
     void start();
     void stop();
-    /// From now on reports say that the entry is stopping.
+    /// Marks the entry as stopping in all further reports.
     void beginStopping() { isStopping_ = true; }
 
-    /// Changes the count of requests that wait for a slot.
+    /// Adds \a change to the number of requests that wait for a slot.
     void noteWaiting(int change) { waiting_ += change; }
     int waiting() const { return waiting_; }
 
@@ -51,7 +51,7 @@
     void run();
     void step();
     void updateTargets();
-    void applyMarks();
+    void applyLeavingMarks();
     ServicePlan planService(const Model::Service &service, Model::WallTime now,
                             Model::Milliseconds elapsed);
     void findOutage(const Model::Service &service, ServicePlan &plan);
@@ -59,7 +59,7 @@
                           const Policy::DomainOutage &outage, Model::WallTime now,
                           Model::Milliseconds elapsed);
     std::unique_ptr<EntrySnapshot> makeSnapshot(Model::Milliseconds elapsed);
-    Model::Instance ownInstance() const;
+    Model::Instance localInstance() const;
     std::uint64_t pairRank(const Model::InstanceId &other) const;
     cassiacrank::ProcessReport makeReport();
     void reportIfDue(const cassiacrank::ProcessReport &report);
@@ -72,32 +72,33 @@
 
     std::mutex mutex_;
     std::condition_variable changed_;
-    /// Written by the client's thread, copied by the planner's.
-    Peers::InstanceView arrived_;
-    bool hasArrived_ = false;
-    bool isOver_ = false;
+    /// Written by the client's thread, copied by the planner thread.
+    Peers::InstanceView receivedView_;
+    bool hasReceivedView_ = false;
+    bool isStopRequested_ = false;
 
-    /// The planner's own; statusText() takes the lock to read them.
+    /// Owned by the planner thread; statusText() takes the lock to read them.
     Peers::InstanceView view_;
     std::map<Model::TargetId, std::shared_ptr<TargetState>> targets_;
-    Peers::ShareWalks walks_;
-    std::map<std::pair<Model::ServiceId, Model::FailureDomainId>, bool> knownOut_;
+    Peers::ShareWalks shareRamps_;
+    std::map<std::pair<Model::ServiceId, Model::FailureDomainId>, bool> loggedOutages_;
     Model::SteadyTime reportedAt_;
-    /// What of a report others must act on at once; of the last one that arrived.
-    struct ReportPrint
+    /// The fields of a report whose change is reported immediately.
+    struct UrgentReportState
     {
         std::uint64_t tableVersion_ = 0;
         bool isStopping_ = false;
         bool isStarting_ = true;
         int marks_ = -1;
-        int walked_ = -1;
+        int rampCount_ = -1;
         std::uint64_t crashes_ = 0;
 
-        bool operator==(const ReportPrint &) const = default;
+        bool operator==(const UrgentReportState &) const = default;
     };
-    ReportPrint lastReport_;
-    /// The guard's changes that the report in hand tells of.
-    std::uint64_t crashesReported_ = 0;
+    /// Of the last report that was delivered.
+    UrgentReportState lastUrgentState_;
+    /// The value of CrashGuard::changes() that the current report covers.
+    std::uint64_t reportedCrashChanges_ = 0;
 
     std::atomic<bool> isStopping_{false};
     std::atomic<bool> isReady_{false};
--- a/Services/Entryd/PlannerReports.cpp
+++ b/Services/Entryd/PlannerReports.cpp
@@ -8,28 +8,30 @@
 
 namespace {
 
-/// Loads are reported this often; what others must act on, whenever it is looked at.
-constexpr Milliseconds routineReportPause{400};
+/// The interval of load reports; urgent changes are sent at the next check.
+constexpr Milliseconds routineReportInterval{400};
 
 } // namespace
 
 void Planner::reportIfDue(const cassiacrank::ProcessReport &report)
 {
-    const ReportPrint print{report.table_version(), report.stopping(),    report.starting(),
-                            report.marks_size(),    report.walked_size(), crashesReported_};
-    const bool isUrgent = print != lastReport_ || report.walked_size() > 0;
-    if (!isUrgent && std::chrono::steady_clock::now() - reportedAt_ < routineReportPause)
+    const UrgentReportState urgentState{report.table_version(), report.stopping(),
+                                        report.starting(),      report.marks_size(),
+                                        report.walked_size(),   reportedCrashChanges_};
+    const bool isUrgent = urgentState != lastUrgentState_ || report.walked_size() > 0;
+    if (!isUrgent && std::chrono::steady_clock::now() - reportedAt_ < routineReportInterval)
         return;
     reportedAt_ = std::chrono::steady_clock::now();
-    // A report that did not arrive is repeated at the next step.
-    lastReport_ = client_.report(report) ? print : ReportPrint();
+    // A report that was not delivered is repeated at the next check.
+    lastUrgentState_ = client_.report(report) ? urgentState : UrgentReportState();
 }
 
 cassiacrank::ProcessReport Planner::makeReport()
 {
     cassiacrank::ProcessReport report;
-    crashesReported_ = guard_.changes();
-    *report.mutable_crashes() = Peers::toMessage(guard_.news(std::chrono::steady_clock::now()));
+    reportedCrashChanges_ = guard_.changes();
+    *report.mutable_crashes()
+        = Peers::toMessage(guard_.makeUpdate(std::chrono::steady_clock::now()));
     report.set_role("entry");
     report.set_table_version(isReady_ ? tableVersion_.load() : 0);
     report.set_stopping(isStopping_);
@@ -56,11 +58,11 @@
     if (!view_.table_)
         return report;
     const auto now = std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
-    for (const auto &[key, walk] : walks_.walks_) {
+    for (const auto &[key, ramp] : shareRamps_.walks_) {
         const auto planned = Policy::plannedShares(*view_.table_, key.first, key.second, now);
-        if (areNotablyApart(planned, walk.shares_)) {
+        if (areNotablyApart(planned, ramp.shares_)) {
             *report.add_walked() = Peers::toMessage(
-                {key.first, key.second, Policy::namedShares(*view_.table_, walk.shares_)});
+                {key.first, key.second, Policy::namedShares(*view_.table_, ramp.shares_)});
         }
     }
     return report;
@@ -73,9 +75,9 @@
     json shares = json::array();
     json targets = json::array();
     if (view_.table_) {
-        for (const auto &[key, walk] : walks_.walks_) {
+        for (const auto &[key, ramp] : shareRamps_.walks_) {
             json byDomain = json::object();
-            for (const auto &share : Policy::namedShares(*view_.table_, walk.shares_))
+            for (const auto &share : Policy::namedShares(*view_.table_, ramp.shares_))
                 byDomain[share.domain_.value()] = share.share_.value();
             shares.push_back({{"service", key.first.value()},
                               {"origin", key.second.value()},
--- a/Services/Entryd/ServiceQueue.cpp
+++ b/Services/Entryd/ServiceQueue.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Passes over the classes that may fill no more than the class that was just found to wait.
+/// Added to the use limit of a class that must wait, to skip classes with the same or a lower
+/// limit.
 constexpr double useLimitStep = 1e-6;
 
 Model::SteadyTime steadyNow()
@@ -62,17 +63,17 @@
 {
 }
 
-GivenUp ServiceQueue::giveUp(ResultCode code) const
+Rejection ServiceQueue::reject(ResultCode code) const
 {
-    return {code, comeBackAfter()};
+    return {code, estimatedRetryDelay()};
 }
 
-Milliseconds ServiceQueue::comeBackAfter() const
+Milliseconds ServiceQueue::estimatedRetryDelay() const
 {
     return Policy::comeBackAfter(drainRate_, queue_.size_);
 }
 
-std::size_t ServiceQueue::bound(const CallerRequest &request) const
+std::size_t ServiceQueue::maxQueueLength(const CallerRequest &request) const
 {
     return cell_.read([&](const EntrySnapshot *snapshot) {
         const ServicePlan &plan = snapshot->services_[request.serviceIndex_];
@@ -82,36 +83,36 @@
     });
 }
 
-bool ServiceQueue::wouldRefuse(const CallerRequest &request) const
+bool ServiceQueue::wouldReject(const CallerRequest &request) const
 {
-    if (queue_.size_ == 0 || queue_.size_ < bound(request))
+    if (queue_.size_ == 0 || queue_.size_ < maxQueueLength(request))
         return false;
-    // With a full queue the arriving caller may still displace a larger one; a trial on a copy
-    // tells.
-    Policy::FairQueue trial = queue_;
-    return !Policy::displaceFor(trial, request.class_, request.caller_).has_value();
+    // With a full queue the arriving caller may still displace a larger one; displaceFor() on a
+    // copy shows it.
+    Policy::FairQueue copy = queue_;
+    return !Policy::displaceFor(copy, request.class_, request.caller_).has_value();
 }
 
-std::optional<GivenUp> ServiceQueue::admit(const CallerRequest &request)
+std::optional<Rejection> ServiceQueue::admit(const CallerRequest &request)
 {
     const auto now = steadyNow();
     const auto left = std::chrono::duration_cast<Milliseconds>(request.deadline_ - now);
     if (left <= Milliseconds(0))
-        return giveUp(ResultCode::DeadlineTooShort);
+        return reject(ResultCode::DeadlineTooShort);
     if (request.queueTimeLeft_ <= Model::Microseconds(0))
-        return giveUp(ResultCode::OverCapacity);
+        return reject(ResultCode::OverCapacity);
     const std::size_t holders = cell_.read([&](const EntrySnapshot *snapshot) {
         return snapshot->fleetSize_;
     });
     const auto limit = Policy::limitPart(request.class_.limit_, holders);
     if (!Policy::takeToken(buckets_[request.class_.id_], limit, now))
-        return giveUp(ResultCode::ClassLimited);
-    if (queue_.size_ == 0 || queue_.size_ < bound(request))
+        return reject(ResultCode::ClassLimited);
+    if (queue_.size_ == 0 || queue_.size_ < maxQueueLength(request))
         return std::nullopt;
     const auto displaced = Policy::displaceFor(queue_, request.class_, request.caller_);
     if (!displaced)
-        return giveUp(ResultCode::OverCapacity);
-    decide(*displaced, giveUp(ResultCode::DisplacedByFairShare));
+        return reject(ResultCode::OverCapacity);
+    decide(*displaced, reject(ResultCode::DisplacedByFairShare));
     return std::nullopt;
 }
 
@@ -122,8 +123,8 @@
 
     Pending pending(context_, request);
     const Policy::WaiterId id = ++lastWaiter_;
-    // The limit holds for all waits of the request together. Counted anew after each refusal by a
-    // full target, it let requests wait many times the limit while new ones were refused.
+    // The limit applies to the total wait of the request. If it restarted after each refusal by a
+    // full target, requests would wait many times the limit while new ones are rejected.
     const Model::SteadyTime startBy
         = std::min(request.deadline_, pending.since_ + request.queueTimeLeft_);
     pending_[id] = &pending;
@@ -137,13 +138,13 @@
             Http::asio::redirect_error(Http::asio::use_awaitable, ignored));
         planner_.noteWaiting(-1);
         if (!pending.isDecided_)
-            giveUpExpired();
+            rejectExpired();
     }
     pending_.erase(id);
     request.queueTimeLeft_
         -= std::chrono::duration_cast<Model::Microseconds>(steadyNow() - pending.since_);
     if (!pending.isDecided_)
-        co_return Placement(giveUp(ResultCode::OverCapacity));
+        co_return Placement(reject(ResultCode::OverCapacity));
     co_return std::move(pending.placement_);
 }
 
@@ -157,17 +158,17 @@
     found->second->wake_.cancel();
 }
 
-void ServiceQueue::giveUpExpired()
+void ServiceQueue::rejectExpired()
 {
     const auto now = steadyNow();
     while (const auto expired = Policy::takeExpired(queue_, now))
-        decide(*expired, giveUp(ResultCode::OverCapacity));
+        decide(*expired, reject(ResultCode::OverCapacity));
 }
 
 void ServiceQueue::pump()
 {
-    double leastUseLimit = 0;
-    while (const auto next = Policy::nextWaiter(queue_, leastUseLimit)) {
+    double minUseLimit = 0;
+    while (const auto next = Policy::nextWaiter(queue_, minUseLimit)) {
         const auto found = pending_.find(next->waiter_.id_);
         if (found == pending_.end()) {
             Policy::takeNext(queue_, *next);
@@ -178,7 +179,7 @@
             return tryPlace(*snapshot, request);
         });
         if (!placement) {
-            leastUseLimit = next->useLimit_ + useLimitStep;
+            minUseLimit = next->useLimit_ + useLimitStep;
             continue;
         }
         Policy::takeNext(queue_, *next);
@@ -194,13 +195,13 @@
 std::optional<Model::SteadyTime> ServiceQueue::oldestSince() const
 {
     const auto now = steadyNow();
-    // No class that may fill as little as one that was just found full needs to be asked again.
-    double leastUseLimit = 0;
-    // Ids grow with the time of arrival, and decided requests leave soon.
+    // Skips classes whose use limit is at most that of a class already found full.
+    double minUseLimit = 0;
+    // Ids increase in order of arrival, and decided requests are removed soon.
     for (const auto &[id, pending] : pending_) {
         const CallerRequest &request = pending->request_;
         const double classLimit = request.class_.useLimit_.value();
-        if (pending->isDecided_ || classLimit < leastUseLimit)
+        if (pending->isDecided_ || classLimit < minUseLimit)
             continue;
         const bool canFill = cell_.read([&](const EntrySnapshot *snapshot) {
             const ServicePlan &plan = snapshot->services_[request.serviceIndex_];
@@ -208,7 +209,7 @@
         });
         if (canFill)
             return pending->since_;
-        leastUseLimit = classLimit + useLimitStep;
+        minUseLimit = classLimit + useLimitStep;
     }
     return std::nullopt;
 }
@@ -220,7 +221,7 @@
     const double limit = std::min(request.class_.useLimit_.value(), service.useLimit_.value());
     if (limit >= 1)
         return true;
-    const auto notes = hints_.poolNotes(request.serviceIndex_);
+    const auto notes = hints_.poolState(request.serviceIndex_);
     if (notes)
         return Policy::mayFillShared(*notes, ownInFlight(plan), limit);
     return Policy::mayFillSlot(regionUse(plan, now), limit);
@@ -231,13 +232,13 @@
                                                           Model::SteadyTime now) const
 {
     const auto &domains = snapshot.table_->domains();
-    const auto &ownRegion = snapshot.table_->regions()[snapshot.ownRegion_].id_;
+    const auto &localRegion = snapshot.table_->regions()[snapshot.localRegion_].id_;
     std::vector<Policy::DomainView> views(domains.size());
     for (std::size_t i = 0; i < domains.size(); ++i) {
         Policy::DomainView &view = views[i];
-        view.isNear_ = domains[i].region_ == ownRegion;
+        view.isNear_ = domains[i].region_ == localRegion;
         if (!view.isNear_) {
-            view.isUsable_ = !plan.outage_.isOut(i) && !snapshot.handOver_[i].empty();
+            view.isUsable_ = !plan.outage_.isOut(i) && !snapshot.remoteEntries_[i].empty();
             continue;
         }
         const auto targets = viewsOf(plan.targets_[i], now);
@@ -254,13 +255,13 @@
     const auto &targets = plan.targets_[domain];
     const auto views = viewsOf(targets, now);
     if (!Policy::anyUsable(views))
-        return Placement(giveUp(ResultCode::NoTarget));
+        return Placement(reject(ResultCode::NoTarget));
     const auto chosen = Policy::chooseTarget(views, random_(), random_());
     if (!chosen)
         return std::nullopt;
     const auto left = std::chrono::duration_cast<Milliseconds>(request.deadline_ - now);
     if (!Policy::canFinish(left, views[*chosen].latency_))
-        return Placement(giveUp(ResultCode::DeadlineTooShort));
+        return Placement(reject(ResultCode::DeadlineTooShort));
     return Placement(ToTarget{SlotHold(targets[*chosen])});
 }
 
@@ -280,21 +281,21 @@
     const double debt = origin.isMoving_ ? Policy::debtWhileMoving : Policy::debtWhileStanding;
     const auto choice = Policy::chooseDomain(credits, origin.shares_, views, debt);
     if (choice.verdict_ == Policy::DomainVerdict::NoneUsable)
-        return Placement(GivenUp{ResultCode::NoTarget, origin.comeBack_});
+        return Placement(Rejection{ResultCode::NoTarget, origin.retryDelay_});
     if (choice.verdict_ == Policy::DomainVerdict::ShiftLimited)
-        return Placement(GivenUp{ResultCode::ShiftLimited, origin.comeBack_});
+        return Placement(Rejection{ResultCode::ShiftLimited, origin.retryDelay_});
     if (!views[choice.domain_].isNear_) {
-        const auto &entries = snapshot.handOver_[choice.domain_];
+        const auto &entries = snapshot.remoteEntries_[choice.domain_];
         const auto chosen = Policy::chooseEntry(entryFailures_, entries, random_(), now);
         if (!chosen)
-            return Placement(GivenUp{ResultCode::NoTarget, origin.comeBack_});
+            return Placement(Rejection{ResultCode::NoTarget, origin.retryDelay_});
         return Placement(ToEntry{choice.domain_, entries[*chosen].addresses_.entryPeer_});
     }
     if (views[choice.domain_].hasFreeSlot_) {
         if (auto placement = tryTarget(plan, choice.domain_, request, now))
             return placement;
     }
-    // The request stays in the queue, so the choice must leave no trace in the credits.
+    // The request stays in the queue, so the choice must not change the credits.
     credits = before;
     return std::nullopt;
 }
--- a/Services/Entryd/ServiceQueue.h
+++ b/Services/Entryd/ServiceQueue.h
@@ -11,30 +11,29 @@
 
 namespace Entryd {
 
-/// The request goes to a target of the own region, in whose slot it is counted.
+/// The request goes to a target of the local region and holds one of its slots.
 struct ToTarget
 {
     SlotHold slot_;
 };
 
-/// The request goes to an entry of another region, which places it.
+/// The request is forwarded to an entry of another region, which places it.
 struct ToEntry
 {
     std::size_t domain_ = 0;
     Model::Address address_;
 };
 
-/// The request is given up; the caller is told why and when to come back.
-struct GivenUp
+/// The request is rejected; the caller receives the reason and a retry delay.
+struct Rejection
 {
     Model::ResultCode code_ = Model::ResultCode::OverCapacity;
-    Model::Milliseconds comeBack_{1000};
+    Model::Milliseconds retryDelay_{1000};
 };
 
-using Placement = std::variant<GivenUp, ToTarget, ToEntry>;
+using Placement = std::variant<Rejection, ToTarget, ToEntry>;
 
-/// The requests of one service on one thread that wait for a slot, and the decision where each
-/// goes.
+/// The queue of requests of one service on one thread that wait for a slot. It places each one.
 ///
 /// Thread safety: every method runs on the thread of the io_context.
 class ServiceQueue
@@ -43,31 +42,31 @@
     ServiceQueue(Http::asio::io_context &context, const SnapshotCell &cell, Planner &planner,
                  const SlotHints &hints, Policy::EntryFailures &entryFailures, std::uint64_t seed);
 
-    /// Waits for a place for \a request, as long as the service's queue limit and the deadline
-    /// allow. A request that cannot be placed in time is given up at once. The time that it waited
-    /// is taken off the request's time to wait.
+    /// Waits until \a request can be placed, within the service's queue limit and the deadline. A
+    /// request that cannot be placed in time is rejected immediately. The waiting time is
+    /// subtracted from the request's queueTimeLeft_.
     Http::Task<Placement> place(CallerRequest &request);
 
     /// Places as many waiting requests as there are free slots.
     void pump();
 
-    /// Gives up the requests that can no longer start in time.
-    void giveUpExpired();
+    /// Rejects the requests that can no longer start in time.
+    void rejectExpired();
 
-    /// Counts a request that gave its slot back.
+    /// Counts a request that released its slot.
     void countFinished();
 
-    /// Tells whether a new request of this class would be refused at once.
-    bool wouldRefuse(const CallerRequest &request) const;
+    /// Returns whether a new request of this class would be rejected immediately.
+    bool wouldReject(const CallerRequest &request) const;
 
     std::size_t waiting() const { return queue_.size_; }
-    /// Returns since when the oldest request waits that could fill a free slot now.
+    /// Returns the arrival time of the oldest waiting request that could use a free slot now.
     ///
-    /// What goes wrong if those count that must leave slots to others: an old bulk request, which
-    /// may not fill the slot, makes the other entry of the region leave it idle beside a small
-    /// caller's young request, again and again for the length of the queue.
+    /// Requests that must leave slots to other classes do not count. Otherwise an old bulk request,
+    /// which may not use the slot, makes the other entry of the region leave it idle while a small
+    /// caller's newer request waits there, repeatedly, until the queue is drained.
     std::optional<Model::SteadyTime> oldestSince() const;
-    Model::Milliseconds comeBackAfter() const;
+    Model::Milliseconds estimatedRetryDelay() const;
 
 private:
     struct Pending
@@ -85,7 +84,7 @@
         Placement placement_;
     };
 
-    /// Nothing means that the request must wait.
+    /// Returns std::nullopt if the request must wait.
     std::optional<Placement> tryPlace(const EntrySnapshot &snapshot, const CallerRequest &request);
     std::optional<Placement> tryTarget(const ServicePlan &plan, std::size_t domain,
                                        const CallerRequest &request, Model::SteadyTime now);
@@ -94,16 +93,16 @@
                                                 Model::SteadyTime now) const;
     bool mayFill(const EntrySnapshot &snapshot, const ServicePlan &plan,
                  const CallerRequest &request, Model::SteadyTime now) const;
-    std::size_t bound(const CallerRequest &request) const;
-    std::optional<GivenUp> admit(const CallerRequest &request);
+    std::size_t maxQueueLength(const CallerRequest &request) const;
+    std::optional<Rejection> admit(const CallerRequest &request);
     void decide(Policy::WaiterId waiter, Placement placement);
-    GivenUp giveUp(Model::ResultCode code) const;
+    Rejection reject(Model::ResultCode code) const;
 
     Http::asio::io_context &context_;
     const SnapshotCell &cell_;
     Planner &planner_;
     const SlotHints &hints_;
-    /// Of the thread, for all services.
+    /// Shared by all services of the thread.
     Policy::EntryFailures &entryFailures_;
     Policy::FairQueue queue_;
     std::map<Policy::WaiterId, Pending *> pending_;
--- a/Services/Entryd/SlotHints.cpp
+++ b/Services/Entryd/SlotHints.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-constexpr Milliseconds notePause{4};
-constexpr std::int64_t noteLifeUs
-    = std::chrono::duration_cast<Model::Microseconds>(noteLife).count();
-/// A request elsewhere must have waited this much longer, or the hint's own way is not worth it.
-constexpr std::int64_t leastAdvantageUs = 2000;
-/// Entries that are told; in a large region each entry tells the same few near it in rank.
-constexpr std::size_t mostPeers = 8;
+constexpr Milliseconds hintInterval{4};
+constexpr std::int64_t hintTtlUs = std::chrono::duration_cast<Model::Microseconds>(hintTtl).count();
+/// A remote request must have waited this much longer to make up for the latency of the hint.
+constexpr std::int64_t minAdvantageUs = 2000;
+/// The maximum number of entries that receive hints; in a large region each entry sends to the few
+/// that rank first with it.
+constexpr std::size_t maxPeers = 8;
 
 std::int64_t nowUs()
 {
@@ -29,7 +29,7 @@
     return std::chrono::duration_cast<Model::Microseconds>(time.time_since_epoch()).count();
 }
 
-/// The service's targets of the own region, in an order that the table alone decides.
+/// Returns the service's targets in the local region, in an order determined only by the table.
 std::vector<std::shared_ptr<TargetState>> targetsOf(const EntrySnapshot &snapshot,
                                                     std::size_t service)
 {
@@ -53,14 +53,14 @@
 {
     for (auto &services : oldest_) {
         for (auto &since : services)
-            since = nobody;
+            since = noWaiter;
     }
     for (auto &services : waiting_) {
         for (auto &count : services)
             count = 0;
     }
     for (auto &since : peerOldest_)
-        since = nobody;
+        since = noWaiter;
 }
 
 SlotHints::~SlotHints()
@@ -77,11 +77,12 @@
     if (!error)
         socket_.bind(endpoint, error);
     if (error) {
-        Model::fail(Model::ResultCode::BadValue, "datagrams: " + error.message());
+        Model::fail(Model::ResultCode::BadValue,
+                    "cannot bind the datagram socket for slot hints: " + error.message());
         return false;
     }
     Http::asio::co_spawn(context_, receiveLoop(), Http::asio::detached);
-    Http::asio::co_spawn(context_, noteLoop(), Http::asio::detached);
+    Http::asio::co_spawn(context_, hintLoop(), Http::asio::detached);
     thread_ = std::thread([this] {
         const Concurrency::RcuReader reader;
         context_.run();
@@ -99,27 +100,27 @@
 void SlotHints::noteWaiting(int thread, std::size_t service,
                             std::optional<Model::SteadyTime> oldestSince, std::size_t count)
 {
-    const auto threadIndex = static_cast<std::size_t>(thread) % mostThreads;
-    const std::int64_t since = oldestSince ? microsecondsOf(*oldestSince) : nobody;
-    oldest_[threadIndex][service % mostServices] = since;
-    waiting_[threadIndex][service % mostServices] = static_cast<std::uint32_t>(count);
+    const auto threadIndex = static_cast<std::size_t>(thread) % maxThreads;
+    const std::int64_t since = oldestSince ? microsecondsOf(*oldestSince) : noWaiter;
+    oldest_[threadIndex][service % maxServices] = since;
+    waiting_[threadIndex][service % maxServices] = static_cast<std::uint32_t>(count);
 }
 
 std::int64_t SlotHints::localOldest(std::size_t service) const
 {
-    std::int64_t oldest = nobody;
+    std::int64_t oldest = noWaiter;
     for (const auto &services : oldest_)
-        oldest = std::min(oldest, services[service % mostServices].load());
+        oldest = std::min(oldest, services[service % maxServices].load());
     return oldest;
 }
 
-bool SlotHints::leaveToOthers(std::size_t service, TargetState &target)
+bool SlotHints::yieldFreedSlot(std::size_t service, TargetState &target)
 {
-    const std::int64_t theirs = peerOldest_[service % mostServices];
-    if (theirs == nobody)
+    const std::int64_t theirs = peerOldest_[service % maxServices];
+    if (theirs == noWaiter)
         return false;
     const std::int64_t ours = localOldest(service);
-    if (ours != nobody && theirs + leastAdvantageUs >= ours)
+    if (ours != noWaiter && theirs + minAdvantageUs >= ours)
         return false;
     noteTaken(target, std::chrono::steady_clock::now());
     Http::asio::post(context_, [this, service, id = target.target_.id_] {
@@ -154,64 +155,65 @@
     }
     const auto service = cell_.read([&](const EntrySnapshot *snapshot) {
         const bool isKnown = snapshot && snapshot->serviceIndex_.contains(serviceId);
-        return isKnown ? snapshot->serviceIndex_.at(serviceId) : mostServices;
+        return isKnown ? snapshot->serviceIndex_.at(serviceId) : maxServices;
     });
-    if (service >= mostServices)
+    if (service >= maxServices)
         return;
-    onNote(service, hint);
-    refreshOldest(service);
-    refreshPeers(service);
+    onWaitingHint(service, hint);
+    refreshPeerOldest(service);
+    refreshPeerLoad(service);
 }
 
-void SlotHints::onNote(std::size_t service, const cassiacrank::SlotHint &hint)
+void SlotHints::onWaitingHint(std::size_t service, const cassiacrank::SlotHint &hint)
 {
     const Model::InstanceId peer(hint.sender());
-    auto &notes = notes_[service];
-    auto note = std::find_if(notes.begin(), notes.end(), [&](const auto &item) {
+    auto &peerHints = peerHints_[service];
+    auto peerHint = std::find_if(peerHints.begin(), peerHints.end(), [&](const auto &item) {
         return item.peer_ == peer;
     });
-    if (note == notes.end())
-        note = notes.insert(notes.end(), PeerNote{peer});
-    note->heardAtUs_ = nowUs();
-    note->oldestSinceUs_ = nobody;
+    if (peerHint == peerHints.end())
+        peerHint = peerHints.insert(peerHints.end(), PeerHint{peer});
+    peerHint->receivedAtUs_ = nowUs();
+    peerHint->oldestSinceUs_ = noWaiter;
     if (hint.has_oldest_wait_us())
-        note->oldestSinceUs_ = nowUs() - static_cast<std::int64_t>(hint.oldest_wait_us());
-    note->waiting_ = hint.waiting();
-    note->tableVersion_ = Model::TableVersion(hint.table_version());
-    note->inFlight_.assign(hint.in_flight().begin(), hint.in_flight().end());
+        peerHint->oldestSinceUs_ = nowUs() - static_cast<std::int64_t>(hint.oldest_wait_us());
+    peerHint->waiting_ = hint.waiting();
+    peerHint->tableVersion_ = Model::TableVersion(hint.table_version());
+    peerHint->inFlight_.assign(hint.in_flight().begin(), hint.in_flight().end());
 }
 
-void SlotHints::refreshOldest(std::size_t service)
+void SlotHints::refreshPeerOldest(std::size_t service)
 {
-    auto &notes = notes_[service];
-    const std::int64_t oldestNote = nowUs() - noteLifeUs;
-    std::erase_if(notes, [&](const auto &note) {
-        return note.heardAtUs_ < oldestNote;
+    auto &peerHints = peerHints_[service];
+    const std::int64_t oldestAccepted = nowUs() - hintTtlUs;
+    std::erase_if(peerHints, [&](const auto &peerHint) {
+        return peerHint.receivedAtUs_ < oldestAccepted;
     });
-    std::int64_t oldest = nobody;
-    for (const auto &note : notes)
-        oldest = std::min(oldest, note.oldestSinceUs_);
+    std::int64_t oldest = noWaiter;
+    for (const auto &peerHint : peerHints)
+        oldest = std::min(oldest, peerHint.oldestSinceUs_);
     peerOldest_[service] = oldest;
 }
 
-void SlotHints::refreshPeers(std::size_t service)
+void SlotHints::refreshPeerLoad(std::size_t service)
 {
     const auto now = std::chrono::steady_clock::now();
     cell_.read([&](const EntrySnapshot *snapshot) {
-        // In a larger region only some of the entries are heard; their sum would be too low.
-        if (!snapshot || snapshot->nearEntries_.size() > mostPeers)
+        // In a larger region hints arrive from some of the entries only; their sum would be too
+        // low.
+        if (!snapshot || snapshot->localPeerEntries_.size() > maxPeers)
             return;
         const auto targets = targetsOf(*snapshot, service);
         std::vector<std::int64_t> sums(targets.size(), 0);
-        for (const auto &note : notes_[service]) {
-            const bool isSameTable = note.tableVersion_ == snapshot->table_->version();
-            if (!isSameTable || note.inFlight_.size() != targets.size())
+        for (const auto &peerHint : peerHints_[service]) {
+            const bool isSameTable = peerHint.tableVersion_ == snapshot->table_->version();
+            if (!isSameTable || peerHint.inFlight_.size() != targets.size())
                 return;
             for (std::size_t i = 0; i < sums.size(); ++i)
-                sums[i] += note.inFlight_[i];
+                sums[i] += peerHint.inFlight_[i];
         }
         for (std::size_t i = 0; i < sums.size(); ++i)
-            notePeers(*targets[i], sums[i], now);
+            notePeerLoad(*targets[i], sums[i], now);
     });
 }
 
@@ -219,7 +221,7 @@
 {
     const auto index = cell_.read([&](const EntrySnapshot *snapshot) {
         if (!snapshot || !snapshot->serviceIndex_.contains(service))
-            return mostServices;
+            return maxServices;
         const std::size_t found = snapshot->serviceIndex_.at(service);
         for (const auto &targets : snapshot->services_[found].targets_) {
             for (const auto &state : targets) {
@@ -229,24 +231,24 @@
         }
         return found;
     });
-    if (index < mostServices)
+    if (index < maxServices)
         wake_(index);
 }
 
-Http::Task<void> SlotHints::noteLoop()
+Http::Task<void> SlotHints::hintLoop()
 {
     while (true) {
-        sendNotes();
-        co_await Http::sleepFor(notePause);
+        sendWaitingHints();
+        co_await Http::sleepFor(hintInterval);
     }
 }
 
-// Taken once for each note that is sent, not for each that arrives: otherwise the same room would
-// be shared out again before the others could say that they took their part of it.
+// Updated once for each hint sent, not for each received: otherwise the same free slots would be
+// divided again before the other entries can report the slots that they took.
 void SlotHints::refreshPool(const EntrySnapshot &snapshot, std::size_t service)
 {
-    const auto &notes = notes_[service];
-    if (notes.empty() || snapshot.nearEntries_.size() > mostPeers)
+    const auto &peerHints = peerHints_[service];
+    if (peerHints.empty() || snapshot.localPeerEntries_.size() > maxPeers)
         return;
     const auto now = std::chrono::steady_clock::now();
     std::vector<Policy::TargetView> views;
@@ -256,29 +258,29 @@
         pool.ownInFlight_ += target->ownInFlight_;
     }
     const Policy::SlotUse use = Policy::slotUse(views);
-    for (const auto &note : notes)
-        pool.waitingEntries_ += note.waiting_ > 0 ? 1 : 0;
+    for (const auto &peerHint : peerHints)
+        pool.waitingEntries_ += peerHint.waiting_ > 0 ? 1 : 0;
     PoolCell &cell = pools_[service];
     cell.slots_ = use.slots_;
     cell.ownInFlight_ = pool.ownInFlight_;
     cell.peersInFlight_ = std::max<std::int64_t>(0, use.inFlight_ - pool.ownInFlight_);
     cell.waitingEntries_ = pool.waitingEntries_;
     cell.dither_ = std::uniform_real_distribution<double>(0, 1)(random_);
-    cell.takenAtUs_ = nowUs();
+    cell.updatedAtUs_ = nowUs();
 }
 
-std::optional<Policy::PoolNotes> SlotHints::poolNotes(std::size_t service) const
+std::optional<Policy::PoolNotes> SlotHints::poolState(std::size_t service) const
 {
-    const PoolCell &cell = pools_[service % mostServices];
-    if (nowUs() - cell.takenAtUs_ > noteLifeUs)
+    const PoolCell &cell = pools_[service % maxServices];
+    if (nowUs() - cell.updatedAtUs_ > hintTtlUs)
         return std::nullopt;
-    Policy::PoolNotes notes;
-    notes.slots_ = cell.slots_;
-    notes.ownInFlight_ = cell.ownInFlight_;
-    notes.peersInFlight_ = cell.peersInFlight_;
-    notes.waitingEntries_ = cell.waitingEntries_;
-    notes.dither_ = cell.dither_;
-    return notes;
+    Policy::PoolNotes current;
+    current.slots_ = cell.slots_;
+    current.ownInFlight_ = cell.ownInFlight_;
+    current.peersInFlight_ = cell.peersInFlight_;
+    current.waitingEntries_ = cell.waitingEntries_;
+    current.dither_ = cell.dither_;
+    return current;
 }
 
 bool SlotHints::anyWaiting(std::size_t service) const
@@ -286,37 +288,38 @@
     const bool isHere = std::any_of(waiting_.begin(), waiting_.end(), [&](const auto &services) {
         return services[service] > 0;
     });
-    const auto &notes = notes_[service];
-    return isHere || std::any_of(notes.begin(), notes.end(), [](const auto &note) {
-               return note.waiting_ > 0;
+    const auto &peerHints = peerHints_[service];
+    return isHere || std::any_of(peerHints.begin(), peerHints.end(), [](const auto &peerHint) {
+               return peerHint.waiting_ > 0;
            });
 }
 
-void SlotHints::sendNotes()
+void SlotHints::sendWaitingHints()
 {
-    for (std::size_t service = 0; service < mostServices; ++service) {
-        if (!notes_[service].empty())
-            refreshOldest(service);
-        // Without a waiting request anywhere there are free slots enough, and nobody needs to know.
+    for (std::size_t service = 0; service < maxServices; ++service) {
+        if (!peerHints_[service].empty())
+            refreshPeerOldest(service);
+        // Without a waiting request at any entry there are enough free slots, and hints are not
+        // needed.
         if (!anyWaiting(service))
             continue;
         cell_.read([&](const EntrySnapshot *snapshot) {
             if (!snapshot || service >= snapshot->services_.size())
                 return;
             refreshPool(*snapshot, service);
-            sendNote(*snapshot, service);
+            sendWaitingHint(*snapshot, service);
         });
     }
 }
 
-void SlotHints::sendNote(const EntrySnapshot &snapshot, std::size_t service)
+void SlotHints::sendWaitingHint(const EntrySnapshot &snapshot, std::size_t service)
 {
     cassiacrank::SlotHint hint;
     hint.set_sender(settings_.instance_.value());
     hint.set_service(snapshot.table_->services()[service].id_.value());
     hint.set_table_version(snapshot.table_->version().value());
     const std::int64_t oldest = localOldest(service);
-    if (oldest != nobody) {
+    if (oldest != noWaiter) {
         const std::int64_t wait = std::max<std::int64_t>(0, nowUs() - oldest);
         hint.set_oldest_wait_us(static_cast<std::uint64_t>(wait));
     }
@@ -327,19 +330,19 @@
     for (const auto &target : targetsOf(snapshot, service))
         hint.add_in_flight(static_cast<std::uint32_t>(target->ownInFlight_.load()));
     const std::string bytes = hint.SerializeAsString();
-    const std::size_t count = std::min(mostPeers, snapshot.nearEntries_.size());
+    const std::size_t count = std::min(maxPeers, snapshot.localPeerEntries_.size());
     for (std::size_t i = 0; i < count; ++i)
-        sendTo(snapshot.nearEntries_[i], bytes);
+        sendTo(snapshot.localPeerEntries_[i], bytes);
 }
 
 void SlotHints::sendFreed(std::size_t service, const Model::TargetId &target)
 {
-    auto &notes = notes_[service % mostServices];
+    auto &peerHints = peerHints_[service % maxServices];
     const auto oldest
-        = std::min_element(notes.begin(), notes.end(), [](const auto &a, const auto &b) {
+        = std::min_element(peerHints.begin(), peerHints.end(), [](const auto &a, const auto &b) {
               return a.oldestSinceUs_ < b.oldestSinceUs_;
           });
-    if (oldest == notes.end() || oldest->oldestSinceUs_ == nobody)
+    if (oldest == peerHints.end() || oldest->oldestSinceUs_ == noWaiter)
         return;
     cell_.read([&](const EntrySnapshot *snapshot) {
         if (!snapshot || service >= snapshot->services_.size())
@@ -348,14 +351,14 @@
         hint.set_sender(settings_.instance_.value());
         hint.set_service(snapshot->table_->services()[service].id_.value());
         hint.set_freed_target(target.value());
-        for (const auto &peer : snapshot->nearEntries_) {
+        for (const auto &peer : snapshot->localPeerEntries_) {
             if (peer.id_ == oldest->peer_)
                 sendTo(peer, hint.SerializeAsString());
         }
     });
-    // The next slot goes to another entry unless this one says again that it waits.
-    oldest->oldestSinceUs_ = nobody;
-    refreshOldest(service % mostServices);
+    // The next slot goes to a different entry unless this one reports a waiting request again.
+    oldest->oldestSinceUs_ = noWaiter;
+    refreshPeerOldest(service % maxServices);
 }
 
 void SlotHints::sendTo(const Model::Instance &peer, const std::string &bytes)
--- a/Services/Entryd/TargetAnswer.h
+++ b/Services/Entryd/TargetAnswer.h
@@ -6,17 +6,17 @@
 
 namespace Entryd {
 
-/// Takes what an answer says about its target into \a target, and logs what is new.
+/// Updates \a target from the report that an answer carries, and logs state changes.
 ///
 /// Thread safety: any thread.
 void noteTargetAnswer(TargetState &target, const Http::Response &answer);
 
-/// Takes in that no answer came. \a isCertain is set when no connection could be made at all.
+/// Records that no answer arrived. \a isCertain is set when no connection could be established.
 ///
 /// Thread safety: any thread.
 void noteTargetLost(TargetState &target, bool isCertain);
 
-/// Returns the whole number at the beginning of \a text, or \a fallback. Thread safety: any thread.
+/// Returns the integer at the start of \a text, or \a fallback. Thread safety: any thread.
 std::int64_t numberIn(Http::beast::string_view text, std::int64_t fallback);
 
 } // namespace Entryd
--- a/Services/Entryd/TargetState.cpp
+++ b/Services/Entryd/TargetState.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::int64_t failuresToSuspect = 3;
-/// The weight of a new latency in the moving average is one part in this many.
-constexpr std::int64_t latencyParts = 8;
+constexpr std::int64_t suspectAfterFailures = 3;
+/// A new latency enters the moving average with a weight of one over this number.
+constexpr std::int64_t latencyWeightDivisor = 8;
 
 std::int64_t microsecondsOf(Model::SteadyTime time)
 {
@@ -32,7 +32,7 @@
     view.reportedInFlight_ = state.reportedInFlight_;
     view.ownInFlightAtReport_ = state.ownInFlightAtReport_;
     view.reportAge_ = age(state.reportedAtUs_, now);
-    if (age(state.peersHeardAtUs_, now) < noteLife)
+    if (age(state.peerLoadAtUs_, now) < hintTtl)
         view.peersInFlight_ = state.peersInFlight_;
     view.latency_ = Model::Microseconds(state.latencyUs_);
     view.inUseFor_ = age(state.inUseSinceUs_, now);
@@ -49,7 +49,7 @@
 void logLeaving(const TargetState &state, std::string_view by, Model::SteadyTime now)
 {
     const std::int64_t sentAt = state.sentAtUs_;
-    const std::int64_t heardAt = state.heardAtUs_;
+    const std::int64_t answeredAt = state.answeredAtUs_;
     const auto ms = [](std::int64_t fromUs, std::int64_t toUs) {
         constexpr std::int64_t usInMs = 1000;
         return std::to_string(fromUs == 0 ? -1 : (toUs - fromUs) / usInMs);
@@ -59,7 +59,7 @@
                        {"by", std::string(by)},
                        {"in_progress", std::to_string(state.ownInFlight_)},
                        {"sent_ms_ago", ms(sentAt, microsecondsOf(now))},
-                       {"heard_ms_before", ms(heardAt, sentAt)}});
+                       {"heard_ms_before", ms(answeredAt, sentAt)}});
 }
 
 bool noteReport(TargetState &state, const TargetReport &report, Model::SteadyTime now)
@@ -71,9 +71,9 @@
     }
     const std::uint64_t incarnation = report.incarnation_.value();
     const std::uint64_t before = state.incarnation_.exchange(incarnation);
-    const bool isNewRun = incarnation != 0 && before != 0 && before != incarnation;
-    if (isNewRun) {
-        // A new run of the target: its caches are cold, and marks of the old run are void.
+    const bool isNewIncarnation = incarnation != 0 && before != 0 && before != incarnation;
+    if (isNewIncarnation) {
+        // A new incarnation has cold caches, and leaving markers of the previous one are void.
         state.inUseSinceUs_ = microsecondsOf(now);
         state.isLeaving_ = false;
     }
@@ -85,13 +85,13 @@
 void noteLatency(TargetState &state, Model::Microseconds latency)
 {
     const std::int64_t before = state.latencyUs_;
-    const std::int64_t step = (latency.count() - before) / latencyParts;
+    const std::int64_t step = (latency.count() - before) / latencyWeightDivisor;
     state.latencyUs_ = before == 0 ? latency.count() : before + step;
 }
 
 void noteFull(TargetState &state, Model::SteadyTime now)
 {
-    // Its own report may say otherwise; the refusal is what counts.
+    // The refusal overrides the target's own load report.
     const std::int64_t own = state.ownInFlight_;
     state.ownInFlightAtReport_ = own;
     state.reportedInFlight_ = std::max(own, state.target_.slots_.value()) + 1;
@@ -116,24 +116,24 @@
     --state.peersInFlight_;
 }
 
-void notePeers(TargetState &state, std::int64_t inFlight, Model::SteadyTime now)
+void notePeerLoad(TargetState &state, std::int64_t inFlight, Model::SteadyTime now)
 {
     state.peersInFlight_ = inFlight;
-    state.peersHeardAtUs_ = microsecondsOf(now);
+    state.peerLoadAtUs_ = microsecondsOf(now);
 }
 
 bool noteFailure(TargetState &state, bool isCertain)
 {
-    const std::int64_t failures = ++state.failuresInARow_;
-    if (!isCertain && failures < failuresToSuspect)
+    const std::int64_t failures = ++state.consecutiveFailures_;
+    if (!isCertain && failures < suspectAfterFailures)
         return false;
     return !state.isSuspect_.exchange(true);
 }
 
 bool noteAlive(TargetState &state, Model::SteadyTime now)
 {
-    state.failuresInARow_ = 0;
-    state.heardAtUs_ = microsecondsOf(now);
+    state.consecutiveFailures_ = 0;
+    state.answeredAtUs_ = microsecondsOf(now);
     if (!state.isSuspect_.exchange(false))
         return false;
     state.inUseSinceUs_ = microsecondsOf(now);
--- a/Services/Entryd/TargetState.h
+++ b/Services/Entryd/TargetState.h
@@ -10,10 +10,10 @@
 
 namespace Entryd {
 
-/// What this entry observed of one target; written and read by all threads without a lock.
+/// The observed state of one target; all threads of the entry read and write it without a lock.
 ///
-/// Thread safety: any thread. The counters are independent of each other: a reader may see one of
-/// them a moment older than another, which at worst costs a refusal by the target.
+/// Thread safety: any thread. The counters are updated independently: a reader may see one of them
+/// slightly older than another, which at worst costs a refusal by the target.
 struct TargetState
 {
     explicit TargetState(Model::Target target)
@@ -26,29 +26,30 @@
     std::atomic<std::int64_t> reportedInFlight_{0};
     std::atomic<std::int64_t> ownInFlightAtReport_{0};
     std::atomic<std::int64_t> reportedAtUs_{0};
-    /// What the other entries of the region have in progress, by their own word, and when it came.
+    /// Requests in flight as reported by the other entries of the region, and the time of the
+    /// report.
     std::atomic<std::int64_t> peersInFlight_{0};
-    std::atomic<std::int64_t> peersHeardAtUs_{0};
+    std::atomic<std::int64_t> peerLoadAtUs_{0};
     std::atomic<std::int64_t> latencyUs_{0};
     std::atomic<std::int64_t> inUseSinceUs_{0};
-    std::atomic<std::int64_t> failuresInARow_{0};
+    std::atomic<std::int64_t> consecutiveFailures_{0};
     std::atomic<std::uint64_t> incarnation_{0};
     std::atomic<bool> isSuspect_{false};
     std::atomic<bool> isLeaving_{false};
-    /// When a request was last sent there, and when it last answered anything; zero for never.
+    /// The time of the last request sent and of the last answer received; zero for never.
     std::atomic<std::int64_t> sentAtUs_{0};
-    std::atomic<std::int64_t> heardAtUs_{0};
+    std::atomic<std::int64_t> answeredAtUs_{0};
 };
 
-/// What an entry said of its requests holds for this long, if it does not say it again.
-constexpr Model::Milliseconds noteLife{30};
+/// The time after which a hint of another entry expires.
+constexpr Model::Milliseconds hintTtl{30};
 
-/// Returns a copy of the counters for the decisions. Thread safety: any thread.
+/// Returns a copy of the counters for placement decisions. Thread safety: any thread.
 Policy::TargetView viewOf(const TargetState &state, Model::SteadyTime now);
 
-/// Holds one slot of a target: counts a request in while it lives.
+/// Holds one slot of a target: counts a request as in flight for the lifetime of the object.
 ///
-/// Thread safety: as a plain value; distinct objects on distinct threads.
+/// Thread safety: distinct objects may be used on distinct threads.
 class SlotHold
 {
 public:
@@ -79,7 +80,7 @@
     std::shared_ptr<TargetState> state_;
 };
 
-/// What an answer, a probe's answer or a refusal says about its target.
+/// The state that a target reports in an answer, a probe's answer or a refusal.
 struct TargetReport
 {
     std::int64_t inFlight_ = -1;
@@ -87,42 +88,42 @@
     bool isDraining_ = false;
 };
 
-/// Takes in an answer's report. Returns whether the target is newly known to be leaving.
+/// Records an answer's report. Returns whether it is the first to show that the target is leaving.
 ///
 /// Thread safety: any thread.
 bool noteReport(TargetState &state, const TargetReport &report, Model::SteadyTime now);
 
-/// Takes in that a request is sent there now. Thread safety: any thread.
+/// Records that a request is being sent to the target. Thread safety: any thread.
 void noteSend(TargetState &state, Model::SteadyTime now);
 
-/// Logs that the target is known to leave: by whom, how long ago a request was last sent there, and
-/// how long before that the target had last said anything. Thread safety: any thread.
+/// Logs that the target is leaving: the source of this information, the time since the last request
+/// was sent to it, and the time between its last answer and that request. Thread safety: any
+/// thread.
 void logLeaving(const TargetState &state, std::string_view by, Model::SteadyTime now);
 
-/// Takes in the time that an answer took. Thread safety: any thread.
+/// Updates the average latency with that of an answer. Thread safety: any thread.
 void noteLatency(TargetState &state, Model::Microseconds latency);
 
-/// Takes in that the target refused before starting for lack of a slot.
+/// Records that the target had no free slot and refused a request before starting it.
 ///
-/// What goes wrong without it: a target whose load report lies, or comes late, claims to be idle,
-/// is chosen again at once, refuses again, and requests go round in circles. Thread safety: any
-/// thread.
+/// Without this, a target whose load report is wrong or late and shows it as idle is chosen again
+/// immediately and refuses again, so requests loop. Thread safety: any thread.
 void noteFull(TargetState &state, Model::SteadyTime now);
 
-/// Takes in that a slot which came free was left to another entry. Thread safety: any thread.
+/// Records that a freed slot was yielded to another entry. Thread safety: any thread.
 void noteTaken(TargetState &state, Model::SteadyTime now);
 
-/// Takes in that another entry left a slot that came free to this one. Thread safety: any thread.
+/// Records that another entry yielded a freed slot to this one. Thread safety: any thread.
 void noteFreed(TargetState &state, Model::SteadyTime now);
 
-/// Takes in what the other entries together have in progress. Thread safety: any thread.
-void notePeers(TargetState &state, std::int64_t inFlight, Model::SteadyTime now);
+/// Records the total requests in flight of the other entries. Thread safety: any thread.
+void notePeerLoad(TargetState &state, std::int64_t inFlight, Model::SteadyTime now);
 
-/// Takes in a failure. Returns whether the target became suspect by it. \a isCertain is set when no
-/// connection could be made at all. Thread safety: any thread.
+/// Records a failure. Returns whether it made the target suspect. \a isCertain is set when no
+/// connection could be established. Thread safety: any thread.
 bool noteFailure(TargetState &state, bool isCertain);
 
-/// Takes in any answer. Returns whether the target was suspect until now. Thread safety: any
+/// Records an answer of any kind. Returns whether the target was suspect before. Thread safety: any
 /// thread.
 bool noteAlive(TargetState &state, Model::SteadyTime now);
 
--- a/Services/Entryd/main.cpp
+++ b/Services/Entryd/main.cpp
@@ -8,16 +8,16 @@
 using Observe::Event;
 using Observe::ExitCode;
 
-/// How long the mark of a leaving entry may take to reach every look-up.
-constexpr Milliseconds spreadTime{1500};
-/// How long idle connections may bring a last request after the entry stopped accepting.
+/// The maximum time for the leaving marker of this entry to reach every look-up.
+constexpr Milliseconds markPropagationTime{1500};
+/// How long idle connections may deliver a last request after the entry stops accepting.
 constexpr Milliseconds idleGrace{500};
-constexpr Milliseconds stopStep{20};
-/// No request in progress is cut off before this; it is longer than the longest usual deadline.
-constexpr Milliseconds longestFinish{20000};
+constexpr Milliseconds stopPollInterval{20};
+/// The least time before requests in progress are cut off; longer than the longest usual deadline.
+constexpr Milliseconds maxFinishTime{20000};
 constexpr const char *quarantinesPath = "/quarantines";
 
-/// All of entryd: its threads, its planner and its claims.
+/// The entryd process: its threads, planner and claims.
 class EntryDaemon
 {
 public:
@@ -27,7 +27,7 @@
         , claims_(settings)
         , hints_(settings, cell_,
                  [this](std::size_t service) {
-                     wakeOthers(nobody, service);
+                     wakeOthers(noThread, service);
                  })
         , admin_({[this] {
                       return metricsText();
@@ -41,7 +41,7 @@
                       return guard_.listText();
                   },
                   [this](const std::string &path) {
-                      return lift(path);
+                      return releaseQuarantine(path);
                   }})
     {
         for (int i = 0; i < settings.entryThreads_; ++i) {
@@ -68,14 +68,14 @@
         return true;
     }
 
-    /// The order matters: first nobody is sent here any more, then nothing new is taken, then what
-    /// is in progress ends.
+    /// The order matters: first look-ups stop naming this entry, then it accepts no new requests,
+    /// then the requests in progress end.
     void stop()
     {
         planner_.beginStopping();
         for (const auto &thread : threads_)
             thread->beginLeaving();
-        std::this_thread::sleep_for(spreadTime + settings_.lookupTimeToLive_);
+        std::this_thread::sleep_for(markPropagationTime + settings_.lookupTimeToLive_);
         for (const auto &thread : threads_)
             thread->stopAccepting();
         std::this_thread::sleep_for(idleGrace);
@@ -83,13 +83,13 @@
         for (const auto &thread : threads_)
             thread->closeIdle();
         waitForRequests();
-        claims_.finish(longestFinish);
+        claims_.waitForUnresolved(maxFinishTime);
         hints_.stop();
         planner_.stop();
     }
 
 private:
-    static constexpr int nobody = -1;
+    static constexpr int noThread = -1;
 
     void wakeOthers(int from, std::size_t service)
     {
@@ -103,23 +103,24 @@
 
     void waitForRequests()
     {
-        const auto end = std::chrono::steady_clock::now() + longestFinish;
+        const auto end = std::chrono::steady_clock::now() + maxFinishTime;
         for (const auto &thread : threads_) {
             while (thread->requestsInProgress() > 0 && std::chrono::steady_clock::now() < end)
-                std::this_thread::sleep_for(stopStep);
+                std::this_thread::sleep_for(stopPollInterval);
         }
     }
 
-    /// DELETE of /quarantines/PRINT lifts one, here and, through the control processes, everywhere.
-    bool lift(const std::string &path)
+    /// DELETE of /quarantines/PRINT releases one quarantine, locally and, through the control
+    /// processes, on all instances.
+    bool releaseQuarantine(const std::string &path)
     {
         const std::string start = std::string(quarantinesPath) + "/";
         if (!path.starts_with(start)) {
             Model::fail(Model::ResultCode::MalformedRequest, path);
             return false;
         }
-        const auto print = Policy::printFromText(std::string_view(path).substr(start.size()));
-        return print && guard_.lift(*print);
+        const auto fingerprint = Policy::printFromText(std::string_view(path).substr(start.size()));
+        return fingerprint && guard_.releaseQuarantine(*fingerprint);
     }
 
     std::string metricsText()
@@ -131,10 +132,10 @@
                  static_cast<double>(planner_.tableVersion()));
         text.add("cassiacrank_entry_targets_ended_total",
                  "Targets that ended while requests were there.", "counter",
-                 static_cast<double>(guard_.endedTargets()));
+                 static_cast<double>(guard_.crashedTargets()));
         text.add("cassiacrank_entry_kept_from_targets_total",
                  "Requests refused since targets ended under them.", "counter",
-                 static_cast<double>(guard_.kept()));
+                 static_cast<double>(guard_.refusedRequests()));
         text.add("cassiacrank_entry_quarantined", "Requests in quarantine.", "gauge",
                  static_cast<double>(guard_.quarantined()));
         text.add("cassiacrank_entry_store_writes_total", "Commits of claims.", "counter",
@@ -146,7 +147,7 @@
     Entryd::SnapshotCell cell_;
     Entryd::CrashGuard guard_;
     Entryd::Planner planner_;
-    Entryd::ClaimKeeper claims_;
+    Entryd::ClaimManager claims_;
     Entryd::SlotHints hints_;
     std::vector<std::unique_ptr<Entryd::EntryThread>> threads_;
     Http::AdminServer admin_;
