--- a/Libraries/LibPolicy/Admission.cpp
+++ b/Libraries/LibPolicy/Admission.cpp
@@ -9,9 +9,10 @@
 
 constexpr Model::Milliseconds rateWindow{200};
 constexpr double newWindowWeight = 0.5;
-/// Slots come free unevenly; so many standard deviations fewer than expected nearly always do.
+/// Slots come free unevenly. The bound stays this many standard deviations below the expected
+/// number.
 constexpr double deviationsKept = 2;
-/// A bucket holds what its limit allows in this time, and one request at the least.
+/// A bucket holds the tokens of this time, and at least one.
 constexpr double bucketSeconds = 0.1;
 
 } // namespace
--- a/Libraries/LibPolicy/Admission.h
+++ b/Libraries/LibPolicy/Admission.h
@@ -6,7 +6,7 @@
 
 namespace Policy {
 
-/// How fast slots come free for one service on one thread, as a moving average.
+/// Moving average of the rate at which slots come free for one service on one thread.
 ///
 /// Not shared between threads.
 struct DrainRate
@@ -16,52 +16,54 @@
     std::size_t inWindow_ = 0;
 };
 
-/// Counts one request that gave its slot back, and tells whether others waited for one.
+/// Counts one request that released its slot. \a hasWaiters tells whether other requests wait for a
+/// slot.
 ///
-/// Where nobody waits, slots come free as slowly as requests arrive, which says nothing of how fast
-/// they could: only windows with somebody waiting throughout are measured.
-/// Thread safety: \a rate belongs to the calling thread.
+/// Without waiters slots come free only as fast as requests arrive, which does not show the
+/// capacity. Only windows in which requests wait throughout are measured. Thread safety: \a rate
+/// belongs to the calling thread.
 void countFinished(DrainRate &rate, bool hasWaiters, Model::SteadyTime now);
 
-/// Returns how many requests may wait: what the slots all but surely work off within the longest
-/// wait, and one at the least. Before anything was measured, \a slots requests may wait.
+/// Returns how many requests may wait: the number that the slots almost certainly serve within \a
+/// longestWait, and at least one. Before the first measurement, \a slots requests may wait.
 ///
-/// What goes wrong with what they work off on average: the last in line is served at the very end
-/// of the longest wait, so every second one waits all of it and is refused then.
+/// If the bound were the number served on average, the last request in the queue would be served at
+/// the very end of \a longestWait, so every second one would wait the whole time and then be
+/// refused.
 ///
-/// What goes wrong with a bound that never falls below the slots: each thread of each entry lets as
-/// many wait as all of them together can serve, the line takes several times the longest wait, and
-/// nearly everybody who is refused is refused only after it. Thread safety: any thread.
+/// If the bound never fell below the slots, each thread of each entry would queue as many requests
+/// as all threads together can serve. The queue would take several times \a longestWait to serve,
+/// and almost all refusals would come only after that wait. Thread safety: any thread.
 std::size_t queueBound(const DrainRate &rate, Model::Milliseconds longestWait, Model::Slots slots);
 
-/// Returns when a caller that is refused for lack of capacity should come back.
+/// Returns after which delay a caller that is refused for lack of capacity should retry.
 ///
 /// Thread safety: any thread.
 Model::Milliseconds comeBackAfter(const DrainRate &rate, std::size_t waiting);
 
-/// The least time to come back that is ever named, so that refused callers do not spin.
+/// Smallest retry delay returned to callers, so that refused callers do not retry in a tight loop.
 constexpr Model::Milliseconds leastComeBack{100};
 constexpr Model::Milliseconds longestComeBack{10000};
 
-/// Returns whether a request with \a remaining time can still be finished by a target that usually
-/// takes \a usualLatency. Thread safety: any thread.
+/// Returns whether a target with \a usualLatency can finish a request within its \a remaining time.
+/// Thread safety: any thread.
 bool canFinish(Model::Milliseconds remaining, Model::Microseconds usualLatency);
 
-/// A limit on requests a second. Not shared between threads.
+/// Token bucket that limits requests per second. Not shared between threads.
 struct RateBucket
 {
     double tokens_ = 0;
     Model::SteadyTime filledAt_;
 };
 
-/// Returns the part of a limit on the whole fleet that one of \a holders may use.
+/// Returns the part of a fleet-wide limit that one of \a holders may use.
 ///
-/// What goes wrong without it: an absolute limit that every entry applies whole is passed as many
-/// times as there are entries. Dividing by the largest known number of holders keeps the sum at or
-/// below the limit with no message at all. Thread safety: any thread.
+/// Without the division, every entry applies the whole limit and the fleet exceeds it by a factor
+/// of the number of entries. Dividing by the largest known number of holders keeps the sum at or
+/// below the limit without any message. Thread safety: any thread.
 Model::RequestsPerSecond limitPart(Model::RequestsPerSecond limit, std::size_t holders);
 
-/// Takes one token, if there is one. A zero \a limit always succeeds. Thread safety: \a bucket
+/// Takes one token if available. Always succeeds if \a limit is zero. Thread safety: \a bucket
 /// belongs to the calling thread.
 bool takeToken(RateBucket &bucket, Model::RequestsPerSecond limit, Model::SteadyTime now);
 
--- a/Libraries/LibPolicy/Claims.h
+++ b/Libraries/LibPolicy/Claims.h
@@ -8,23 +8,24 @@
 
 namespace Policy {
 
-/// How far a claimed request came, as the store keeps it.
+/// Progress of a claimed request, as stored.
 enum class ClaimState {
-    /// An entry took it; whether it ran is not known.
+    /// Claimed by an entry; whether the request ran is unknown.
     Claimed,
-    /// It ran; the answer is kept beside the claim.
+    /// The request ran; the answer is stored with the claim.
     Run,
-    /// It certainly did not run; any entry may claim it anew.
+    /// The request certainly did not run; any entry may claim it again.
     Released,
 };
 
-/// The record that ties an idempotency key to one run of one request.
+/// The record that binds an idempotency key to one execution of one request.
 struct Claim
 {
     ClaimState state_ = ClaimState::Claimed;
-    /// Tells requests with the same key apart.
+    /// Distinguishes requests that use the same key.
     std::uint64_t requestHash_ = 0;
-    /// The attempt that holds the claim: unrepeatable, so that a lost confirmation can be settled.
+    /// Unique id of the attempt that holds the claim. After a lost confirmation it shows whether
+    /// the write succeeded.
     std::string holder_;
     int answerStatus_ = 0;
     std::string answerType_;
@@ -34,34 +35,34 @@
 };
 
 enum class ClaimVerdict {
-    /// The claim is this attempt's own: run the request.
+    /// This attempt holds the claim: run the request.
     Proceed,
-    /// Take the released claim over, on condition that it has not changed.
+    /// Take over the released claim, on condition that it is unchanged.
     TakeOver,
-    /// It ran before: give the kept answer.
+    /// The request ran before: return the stored answer.
     Replay,
-    /// Someone claimed it and its outcome is not known.
+    /// Another attempt holds the claim and its outcome is unknown.
     Unknown,
     /// The key belongs to another request.
     OtherRequest,
 };
 
-/// Decides what an attempt does about the claim that it found.
+/// Decides how an attempt proceeds with the claim that it found.
 ///
-/// What goes wrong without the claim: a caller that got no answer repeats its request through
-/// another entry while the first one is still in progress, and a release order runs twice. A claim
-/// never lapses by time: its holder may only be paused. Thread safety: any thread.
+/// Without the claim, a caller that got no answer repeats its request through another entry while
+/// the first one is still in progress, and a release order runs twice. A claim never expires by
+/// time, because its holder may only be paused. Thread safety: any thread.
 ClaimVerdict judgeClaim(const Claim &found, const std::string &ownHolder,
                         std::uint64_t requestHash);
 
-/// Returns the text in which the store keeps a claim; claimFromText() reads it back and returns
-/// nothing, with PlatformBadAnswer as the last reason, for any other text.
+/// Returns the text in which the store keeps a claim. claimFromText() parses it; for any other text
+/// it returns std::nullopt with PlatformBadAnswer as the last reason.
 ///
 /// Thread safety: any thread.
 std::string toText(const Claim &claim);
 std::optional<Claim> claimFromText(const std::string &text);
 
-/// Returns a number that differs, with near certainty, for different requests.
+/// Returns a hash of the request; different requests have different hashes with near certainty.
 ///
 /// Thread safety: any thread.
 std::uint64_t requestHash(const std::string &method, const std::string &target,
--- a/Libraries/LibPolicy/FairQueue.cpp
+++ b/Libraries/LibPolicy/FairQueue.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Removes the caller's entry once nothing of it waits, so that the map holds active callers only.
-/// The caller's virtual time is not lost: on return it starts at the class's clock, never earlier.
+/// Removes a caller without waiting requests, so that the map holds active callers only. The caller
+/// gains nothing by this: when it returns, its virtual time starts at the class's clock.
 void dropIfEmpty(ClassQueue &classQueue, const Model::CallerId &caller)
 {
     const auto found = classQueue.callers_.find(caller);
--- a/Libraries/LibPolicy/FairQueue.h
+++ b/Libraries/LibPolicy/FairQueue.h
@@ -9,14 +9,14 @@
 
 namespace Policy {
 
-/// Names one waiting request; the owner of the queue keeps the request itself.
+/// Identifies a waiting request; the owner of the queue keeps the request itself.
 using WaiterId = std::uint64_t;
 
-/// One waiting request as the queue knows it.
+/// A waiting request as stored in the queue.
 struct Waiter
 {
     WaiterId id_ = 0;
-    /// After this time an answer could not be in time any more.
+    /// A request that starts after this time misses its deadline.
     Model::SteadyTime startBy_;
 };
 
@@ -27,11 +27,11 @@
     double virtualTime_ = 0;
 };
 
-/// The waiting requests of one class of caller.
+/// The waiting requests of one caller class.
 struct ClassQueue
 {
     double weight_ = 1;
-    /// Part of each target's slots that the class may fill.
+    /// Share of each target's slots that the class may use.
     double useLimit_ = 1;
     double virtualTime_ = 0;
     double callerClock_ = 0;
@@ -39,12 +39,12 @@
     std::map<Model::CallerId, CallerQueue> callers_;
 };
 
-/// Requests of one service that wait for a slot, in fair order: classes share by weight, the
-/// callers of a class share equally.
+/// Weighted fair queue of the requests of one service that wait for a slot: classes share by
+/// weight, the callers of a class share equally.
 ///
-/// What goes wrong without it: in one common line a caller that sends ten times what the slots can
-/// carry fills the line, and a caller with a single request waits behind all of it.
-/// One object for each service on each thread; not shared between threads.
+/// In a single FIFO queue, a caller that sends ten times what the slots can carry fills the queue,
+/// and a caller with a single request waits behind all of it. One object for each service on each
+/// thread; not shared between threads.
 struct FairQueue
 {
     std::map<Model::CallerClassId, ClassQueue> classes_;
@@ -56,7 +56,7 @@
 void enqueue(FairQueue &queue, const Model::CallerClass &callerClass, const Model::CallerId &caller,
              Waiter waiter);
 
-/// Names the caller whose first request is next.
+/// The first request of the caller that is served next.
 struct NextWaiter
 {
     Model::CallerClassId class_;
@@ -65,24 +65,25 @@
     double useLimit_ = 1;
 };
 
-/// Returns the request that should start next, without taking it out. Classes whose use limit is
-/// below \a leastUseLimit are passed over, so that a class that may not fill the slot that is free
-/// does not hold up one that may. Thread safety: as enqueue().
+/// Returns the request that should start next, without removing it. Skips classes whose use limit
+/// is below \a leastUseLimit, so that a class that may not use the free slot does not block one
+/// that may. Thread safety: as enqueue().
 std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double leastUseLimit = 0);
 
-/// Takes out the request that nextWaiter() named and charges it to its caller and class.
+/// Removes the request that nextWaiter() returned and charges it to its caller and class.
 ///
-/// Precondition: nothing changed the queue since. Thread safety: as enqueue().
+/// Precondition: the queue has not changed since. Thread safety: as enqueue().
 void takeNext(FairQueue &queue, const NextWaiter &next);
 
-/// Takes out the newest request of the caller with the most waiting requests for its weight, if
-/// that caller has more waiting than \a caller of \a callerClass would have with one more.
+/// Removes the newest request of the caller with the largest backlog relative to its weight, if
+/// that backlog is larger than that of \a caller of \a callerClass with one more request.
 ///
-/// Returns nothing if the arriving caller itself is the largest. Thread safety: as enqueue().
+/// Returns std::nullopt if the arriving caller itself has the largest backlog. Thread safety: as
+/// enqueue().
 std::optional<WaiterId> displaceFor(FairQueue &queue, const Model::CallerClass &callerClass,
                                     const Model::CallerId &caller);
 
-/// Takes out one request that can no longer start in time, if there is one.
+/// Removes one request that can no longer start in time, if there is one.
 ///
 /// Thread safety: as enqueue().
 std::optional<WaiterId> takeExpired(FairQueue &queue, Model::SteadyTime now);
--- a/Libraries/LibPolicy/HomePlacement.cpp
+++ b/Libraries/LibPolicy/HomePlacement.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// What is left to place, and to place it in, in parts of the whole demand.
+/// The demand still to be placed and the capacity left, as fractions of the whole demand.
 struct Remainder
 {
     std::vector<double> demand_;
@@ -31,8 +31,8 @@
     return remainder;
 }
 
-/// Places the demand of the domains for which \a isAsked holds among the room of those for which
-/// \a isOffered does, by room.
+/// Distributes the demand of the domains for which \a isAsked holds over the domains for which \a
+/// isOffered holds, in proportion to the capacity left.
 template <typename Asked, typename Offered>
 void placeByRoom(Remainder &remainder, HomeShares &placed, Asked isAsked, Offered isOffered)
 {
@@ -67,7 +67,8 @@
     double sum = 0;
     for (const double share : row)
         sum += share;
-    // Callers that were not counted on, such as those of a domain without demand, go by slots.
+    // Callers without planned demand, such as those of a domain without demand, are distributed by
+    // slots.
     if (sum <= 0) {
         for (std::size_t i = 0; i < row.size(); ++i) {
             row[i] = domains[i].slots_;
@@ -104,7 +105,7 @@
     std::vector<double> draws;
     draws.reserve(domainSeeds.size());
     for (const std::uint64_t seed : domainSeeds) {
-        // The 53 bits that a double holds, as a number above 0 and below 1.
+        // The upper 53 bits fit the mantissa of a double; the result lies strictly between 0 and 1.
         const auto mixed = static_cast<double>(ownerScore(object, seed) >> 11U);
         draws.push_back(-std::log((mixed + 0.5) / 9007199254740992.0));
     }
@@ -113,7 +114,8 @@
 
 std::size_t homeOf(const std::vector<double> &draws, const std::vector<double> &shares)
 {
-    // Of exponential draws with the shares as rates the least one wins with that probability.
+    // Among exponential draws with the shares as rates, each is the smallest with a probability
+    // equal to its share.
     std::size_t best = shares.size();
     double bestScore = std::numeric_limits<double>::infinity();
     for (std::size_t i = 0; i < shares.size(); ++i) {
--- a/Libraries/LibPolicy/HomePlacement.h
+++ b/Libraries/LibPolicy/HomePlacement.h
@@ -9,56 +9,57 @@
 
 namespace Policy {
 
-/// What one failure domain offers a service, and what part of the service's callers are near it.
+/// The capacity of a service in one failure domain, and the share of its callers that connect
+/// there.
 struct DomainCapacity
 {
-    /// Index into a list of regions; domains with one number lie together.
+    /// Index of the region; domains of one region have the same index.
     std::size_t region_ = 0;
     double slots_ = 0;
-    /// Part of all callers that connect here; the parts of all domains sum to one.
+    /// Share of all callers that connect to this domain; the shares of all domains sum to one.
     double demand_ = 0;
 };
 
-/// The use of all slots together for which homes are planned.
+/// Planned utilisation of all slots together.
 ///
-/// Near one, every region is as full as the others, whatever the demand. Below, poor regions keep
-/// more of their callers' objects and are overrun at each peak; above one, what has no room is
+/// Near one, all regions are equally full, whatever the demand. Below one, regions with few slots
+/// keep more of their callers' objects and are overloaded at each peak. Above one, the excess is
 /// spread without regard to slots.
 constexpr double plannedUse = 0.95;
 
-/// For the callers near each failure domain, the part of the objects that has its home in each
-/// failure domain. Every row sums to one, or is all zero if there are no slots at all.
+/// For the callers of each failure domain (row), the share of objects whose home is in each failure
+/// domain (column). Each row sums to one, or is all zero if there are no slots at all.
 using HomeShares = std::vector<std::vector<double>>;
 
-/// Keeps callers' objects in their own region as far as its slots go, one home for all of its
-/// domains, and spreads the rest by the slots that other regions have to spare.
+/// Places callers' objects in the local region as far as its slots allow, with one home for all
+/// domains of the region, and spreads the rest over the spare slots of other regions.
 ///
-/// What goes wrong without it: a region with a third of the callers and a fourteenth of the slots
-/// is overrun while the others idle; or, if objects are spread over all slots, two thirds of all
-/// answers cross between regions. With a home in each domain of a region, every object is loaded
-/// twice as often, and each load is a late answer. A pure function of slots and demand, so that
-/// all entries agree without a message. Thread safety: any thread.
+/// Without it, a region with a third of the callers and a fourteenth of the slots is overloaded
+/// while the others idle. If objects were spread over all slots instead, two thirds of all answers
+/// would cross regions. With one home per domain, every object would be loaded twice as often, and
+/// each load is a late answer. Pure function of slots and demand, so that all entries agree without
+/// a message. Thread safety: any thread.
 HomeShares homeShares(const std::vector<DomainCapacity> &domains, double use = plannedUse);
 
-/// Returns how far \a object is from each failure domain: one exponential draw of rate one for each
-/// of \a domainSeeds, which hold a number for each domain that is the same on every instance.
-/// Thread safety: any thread.
+/// Returns the distance of \a object from each failure domain: an exponential draw of rate one for
+/// each of \a domainSeeds. The seed of a domain is the same on every instance. Thread safety: any
+/// thread.
 std::vector<double> domainDraws(std::uint64_t object,
                                 const std::vector<std::uint64_t> &domainSeeds);
 
-/// Returns the index of the failure domain in which an object with \a draws has its home, for
-/// callers whose domain has the row \a shares, or shares.size() if all shares are zero.
+/// Returns the index of the home domain of an object with \a draws, for callers of the domain with
+/// the row \a shares, or shares.size() if all shares are zero.
 ///
-/// By weighted rendezvous: when shares change, only the objects whose part changed move.
+/// Weighted rendezvous hashing: when shares change, only the objects of the changed shares move.
 /// Thread safety: any thread.
 std::size_t homeOf(const std::vector<double> &draws, const std::vector<double> &shares);
 
-/// Returns a number that ranks a target among others for \a object: the highest owns it. The same
-/// on every instance. \a targetSeed comes from seedOf() of the target's id.
-/// Thread safety: any thread.
+/// Returns the rendezvous score of a target for \a object; the target with the highest score owns
+/// it. The same on every instance. \a targetSeed is seedOf() of the target's id. Thread safety: any
+/// thread.
 std::uint64_t ownerScore(std::uint64_t object, std::uint64_t targetSeed);
 
-/// Returns a well-mixed number for a name, the same on every instance. Thread safety: any thread.
+/// Returns a hash of a name, the same on every instance. Thread safety: any thread.
 std::uint64_t seedOf(std::string_view name);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/OthersLoad.cpp
+++ b/Libraries/LibPolicy/OthersLoad.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Above this a report is old whatever the work takes.
+/// A report older than this is stale, whatever the work time.
 constexpr Model::Microseconds longestFresh{500000};
 
 double usualAt(const OthersLoad &load, Model::SteadyTime now)
@@ -32,7 +32,8 @@
     const double usual = usualAt(load, now);
     const double ages
         = Model::inSeconds(now - load.reportedAt_) / std::max(0.001, Model::inSeconds(workTime));
-    // Whole for one work time, then what was in progress ends and other requests take its place.
+    // Full weight for one work time; after that the reported requests end and others take their
+    // place.
     const double kept = std::exp(-std::max(0.0, ages - 1));
     return usual + (load.latest_ - usual) * kept;
 }
--- a/Libraries/LibPolicy/OthersLoad.h
+++ b/Libraries/LibPolicy/OthersLoad.h
@@ -4,39 +4,41 @@
 
 namespace Policy {
 
-/// How many requests of other entries a target has in progress, by its own reports.
-/// Not shared between threads.
+/// The number of requests of other entries that a target has in progress, by its own reports. Not
+/// shared between threads.
 struct OthersLoad
 {
     double latest_ = 0;
-    /// Mean of the reports, the latest ones most.
+    /// Exponential moving average of the reports.
     double usual_ = 0;
     Model::SteadyTime reportedAt_ = Model::longAgo;
 };
 
-/// Weight of one report in the usual load: the last five or so count.
+/// Weight of one report in the average: about the last five count.
 constexpr double usualLoadWeight = 0.2;
 
-/// What was usual halves in this time without a report, so that a target that the others have left
-/// is tried again.
+/// Half-life of the average without a report, so that a target that other entries no longer use is
+/// tried again.
 constexpr Model::Milliseconds usualLoadHalfLife{4000};
 
-/// Takes in that a target reported \a others requests in progress that are not this entry's.
-/// Thread safety: \a load belongs to the calling thread.
+/// Records that a target reported \a others requests in progress that are not this entry's. Thread
+/// safety: \a load belongs to the calling thread.
 void learnOthersLoad(OthersLoad &load, double others, Model::SteadyTime now);
 
-/// Returns what others likely have in progress at \a now: the latest report, which gives way to the
-/// usual load as it gets older than \a workTime, the time that the target's requests take.
+/// Returns the estimated number of requests of other entries in progress at \a now: the latest
+/// report, which decays towards the average once it is older than \a workTime, the time that the
+/// target's requests take.
 ///
-/// What goes wrong where an old report counts for nothing: an entry hears of a target once in a
-/// second or two, takes it for idle in between, and sends to one with a queue while others have
-/// free slots. Thread safety: any thread.
+/// If an old report counted for nothing, an entry that receives a report once in a second or two
+/// would consider the target idle in between, and send to one with a queue while others have free
+/// slots. Thread safety: any thread.
 double othersLoadAt(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
 
-/// Returns what others have in progress by a report that is no older than \a workTime, else 0.
+/// Returns the number of requests of other entries in progress by a report that is no older than \a
+/// workTime, else 0.
 ///
-/// For the choice among targets: a wait that may be over is not worth a load elsewhere.
-/// Thread safety: any thread.
+/// Used to choose among targets: a wait that may be over does not justify a cold load on another
+/// target. Thread safety: any thread.
 double freshOthersLoad(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Outcome.cpp
+++ b/Libraries/LibPolicy/Outcome.cpp
@@ -46,7 +46,7 @@
 
 void giveBackRetryCredit(RetryBudget &budget)
 {
-    // Not bounded: it is spent before anything else can be earned or held.
+    // No upper bound: the credit is spent before any other is earned or reserved.
     budget.credit_ += 1;
 }
 
--- a/Libraries/LibPolicy/Outcome.h
+++ b/Libraries/LibPolicy/Outcome.h
@@ -6,28 +6,29 @@
 
 namespace Policy {
 
-/// What a caller is told about its request.
+/// The outcome of a request as reported to its caller.
 enum class Outcome { Run, NotRun, Unknown };
 
-/// How far an attempt came before it ended.
+/// How far an attempt got before it ended.
 enum class AttemptStage {
-    /// No connection: no byte of the request can have left.
+    /// No connection: no byte of the request can have been sent.
     NotConnected,
-    /// At least one byte of the request may have left.
+    /// At least one byte of the request may have been sent.
     Sent,
-    /// The target said that it refused before starting.
+    /// The target reported that it refused the request before starting it.
     RefusedByTarget,
-    /// A complete answer to this very request.
+    /// A complete answer to this very request was received.
     Answered,
 };
 
 /// Returns "run", "not-run" or "unknown". Thread safety: any thread.
 std::string_view toText(Outcome outcome);
 
-/// Returns what may truthfully be said of an attempt that ended at \a stage.
+/// Returns what is certain about an attempt that ended at \a stage.
 ///
-/// "Not run" is said only where no byte can have left or the target itself said so; silence after
-/// a byte was sent is unknown, whatever the connection's error was. Thread safety: any thread.
+/// "Not run" requires that no byte can have been sent or that the target itself reported it. After
+/// a byte was sent, a missing answer means unknown, whatever the connection's error. Thread safety:
+/// any thread.
 Outcome outcomeOf(AttemptStage stage);
 
 /// Credit for attempts beyond the first, earned by requests. Not shared between threads.
@@ -36,13 +37,13 @@
     double credit_ = 0;
 };
 
-/// Attempts beyond the first for each request, on average.
+/// Attempts beyond the first per request, on average.
 constexpr double retryShare = 0.1;
 constexpr double largestRetryCredit = 10;
-/// Attempts in all for one request.
+/// Total attempts per request.
 constexpr int mostAttempts = 2;
 
-/// How fast credit is earned and how much can be saved up.
+/// The rate at which credit is earned, and its maximum.
 struct RetryTerms
 {
     double share_ = retryShare;
@@ -52,23 +53,24 @@
 /// Earns credit for one arriving request. Thread safety: \a budget belongs to the calling thread.
 void earnRetryCredit(RetryBudget &budget, const RetryTerms &terms = {});
 
-/// Sets credit aside for one more attempt of a request whose attempt number \a attempts begins.
+/// Reserves credit for one more attempt of a request whose attempt number \a attempts begins.
+/// Returns whether the attempt may be cut short.
 ///
-/// What goes wrong without it: an attempt is cut short so that there is time for another one, the
-/// credit is spent on others meanwhile, and the request ends as unknown with its deadline far away.
-/// Returns whether the attempt may be cut short. Thread safety: as above.
+/// Without the reservation, an attempt is cut short to leave time for another one, other requests
+/// spend the credit meanwhile, and the request ends as unknown long before its deadline. Thread
+/// safety: as above.
 bool holdRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts);
 
-/// Gives back what holdRetryCredit() set aside; mayRetry() then takes it, if it is needed.
-/// Thread safety: as above.
+/// Returns the credit that holdRetryCredit() reserved; mayRetry() then takes it if needed. Thread
+/// safety: as above.
 void giveBackRetryCredit(RetryBudget &budget);
 
-/// Tells whether a request that got \a outcome on its attempt number \a attempts may be tried
-/// again, and if so takes the credit.
+/// Returns whether a request that got \a outcome on its attempt number \a attempts may be retried,
+/// and if so takes the credit.
 ///
-/// What goes wrong without the budget: when many targets fail at once, retries multiply the load
-/// that is left and keep it from recovering. What goes wrong without the test of the outcome:
-/// a non-idempotent request that may have started runs twice. Thread safety: as above.
+/// Without the budget, retries multiply the remaining load when many targets fail at once and
+/// prevent recovery. Without the check of the outcome, a non-idempotent request that may have
+/// started runs twice. Thread safety: as above.
 bool mayRetry(RetryBudget &budget, Outcome outcome, bool isIdempotent, int attempts,
               int attemptLimit = mostAttempts);
 
