--- a/Libraries/LibPolicy/Admission.h
+++ b/Libraries/LibPolicy/Admission.h
@@ -24,8 +24,8 @@
 /// belongs to the calling thread.
 void countFinished(DrainRate &rate, bool hasWaiters, Model::SteadyTime now);
 
-/// Returns how many requests may wait: the number that the slots almost certainly serve within \a
-/// longestWait, and at least one. Before the first measurement, \a slots requests may wait.
+/// Returns how many requests may wait: the number that the slots almost certainly serve within
+/// \a longestWait, and at least one. Before the first measurement, \a slots requests may wait.
 ///
 /// If the bound were the number served on average, the last request in the queue would be served at
 /// the very end of \a longestWait, so every second one would wait the whole time and then be
--- a/Libraries/LibPolicy/HomePlacement.cpp
+++ b/Libraries/LibPolicy/HomePlacement.cpp
@@ -31,8 +31,8 @@
     return remainder;
 }
 
-/// Distributes the demand of the domains for which \a isAsked holds over the domains for which \a
-/// isOffered holds, in proportion to the capacity left.
+/// Distributes the demand of the domains for which \a isAsked holds over the domains for which
+/// \a isOffered holds, in proportion to the capacity left.
 template <typename Asked, typename Offered>
 void placeByRoom(Remainder &remainder, HomeShares &placed, Asked isAsked, Offered isOffered)
 {
--- a/Libraries/LibPolicy/OthersLoad.h
+++ b/Libraries/LibPolicy/OthersLoad.h
@@ -34,8 +34,8 @@
 /// slots. Thread safety: any thread.
 double othersLoadAt(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
 
-/// Returns the number of requests of other entries in progress by a report that is no older than \a
-/// workTime, else 0.
+/// Returns the number of requests of other entries in progress by a report that is no older than
+/// \a workTime, else 0.
 ///
 /// Used to choose among targets: a wait that may be over does not justify a cold load on another
 /// target. Thread safety: any thread.
--- a/Libraries/LibPolicy/PartTurns.h
+++ b/Libraries/LibPolicy/PartTurns.h
@@ -7,18 +7,19 @@
 
 namespace Policy {
 
-/// What each part of a route is owed, in requests. Not shared between threads.
+/// Smooth weighted round robin over the splits of a route: the number of requests that each split
+/// is owed. Not shared between threads.
 struct PartTurns
 {
     std::vector<double> owed_;
 };
 
-/// Returns the index of the part that takes the next request, so that the counts follow the weights
-/// with the least deviation.
+/// Returns the index of the weighted split that takes the next request, so that the counts follow
+/// the weights with the least deviation.
 ///
-/// What goes wrong with a random draw: the counts of a few hundred requests scatter by several
-/// percent around the weights. Precondition: \a parts has a weight above zero.
-/// Thread safety: \a turns belongs to the calling thread.
+/// With a random draw, the counts of a few hundred requests would deviate by several percent from
+/// the weights. Precondition: \a parts has a weight above zero. Thread safety: \a turns belongs to
+/// the calling thread.
 std::size_t nextPart(PartTurns &turns, const std::vector<Model::RoutePart> &parts);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RequestAdmission.h
+++ b/Libraries/LibPolicy/RequestAdmission.h
@@ -4,33 +4,33 @@
 
 namespace Policy {
 
-/// What decides whether a request is worth a slot now.
+/// The inputs of the admission decision for one request.
 struct AdmissionCase
 {
-    /// When the answer is expected, counted from now.
+    /// Expected time until the answer.
     Model::Microseconds expected_{0};
-    /// How long the caller still waits, and how long the route lets it wait.
+    /// Remaining time that the caller waits and its route allows.
     Model::Microseconds left_{0};
-    /// How much of the latency goal is left; below zero when it has passed.
+    /// Remaining time of the latency goal; negative once it has passed.
     Model::Microseconds goalLeft_{0};
     int priority_ = 0;
 };
 
-/// A request that will be late is still taken while the wait is at most so many latency goals more;
-/// one rank less urgent, half as many.
+/// A request of priority 0 that will miss its latency goal is admitted up to this many goals late;
+/// each lower priority halves the limit.
 constexpr double latenessOfFirstRank = 2.0;
 
 enum class AdmissionVerdict { Take, TooLate, NoRoom };
 
-/// Decides whether to take a request.
+/// Decides whether to admit a request.
 ///
-/// What goes wrong without it: under overload every request waits its whole time, none is in time,
-/// and the slots are spent on answers that nobody needs any more. Refused at once, a caller can ask
-/// again while there is time. Thread safety: any thread.
+/// Without it, under overload every request waits its whole time, none is in time, and the slots
+/// are spent on answers that are no longer needed. A caller that is refused at once can retry while
+/// there is time. Thread safety: any thread.
 AdmissionVerdict judgeAdmission(const AdmissionCase &request, Model::Milliseconds latencyGoal);
 
-/// Returns when a refused caller should come back: after the wait that it was refused for, spread
-/// by \a draw (0 to below 1) so that those refused together do not come back together.
+/// Returns after which delay a refused caller should retry. The delay grows with the expected wait
+/// and is spread by \a draw (0 to below 1), so that callers refused together do not retry together.
 /// Thread safety: any thread.
 Model::Milliseconds returnAfter(Model::Microseconds expected, Model::Milliseconds latencyGoal,
                                 double draw);
--- a/Libraries/LibPolicy/SpareConnections.cpp
+++ b/Libraries/LibPolicy/SpareConnections.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Longer gaps say no more than this one: the target is not in use.
+/// Gaps are capped here: a target with longer gaps is not in use.
 constexpr double longestGapS = 30;
 
 } // namespace
@@ -21,7 +21,7 @@
 
 bool isSpareWorthwhile(const TargetUse &use, Model::Milliseconds life, Model::SteadyTime now)
 {
-    // A target that has rested for longer than usual is used less than it was.
+    // A target that has been idle for longer than the average is used less than before.
     const double gap = std::max(use.usualGapS_, Model::inSeconds(now - use.usedAt_) / 2);
     return 1 - std::exp(-Model::inSeconds(life) / std::max(gap, 0.001)) >= leastSpareUse;
 }
--- a/Libraries/LibPolicy/SpillMeter.h
+++ b/Libraries/LibPolicy/SpillMeter.h
@@ -7,8 +7,8 @@
 
 namespace Policy {
 
-/// How many of an entry's requests left the region of their object's home lately.
-/// Not shared between threads.
+/// Counts how many of an entry's recent requests left the region of their object's home. Not shared
+/// between threads.
 struct SpillMeter
 {
     struct Bucket
@@ -20,25 +20,25 @@
     std::array<Bucket, 20> buckets_;
 };
 
-/// The window in which a shift between regions is judged, one bucket for each tenth of a second.
+/// Duration of one bucket. All buckets together form the window in which a shift between regions is
+/// measured.
 constexpr Model::Milliseconds spillBucket{100};
 
-/// Part of the allowed shift that spilling may use; the rest is for the scatter of the homes
-/// themselves: a window holds few requests, so a region's share differs between windows even where
-/// nothing moves.
+/// Fraction of the allowed shift that spill-over may use. The rest covers the variation of the
+/// homes themselves: a window holds few requests, so a region's share differs between windows even
+/// if nothing moves.
 constexpr double spillPart = 0.5;
 
 /// Counts one request. Thread safety: \a meter belongs to the calling thread.
 void countRequest(SpillMeter &meter, bool isSpilled, Model::SteadyTime now);
 
-/// Tells whether one more request may leave the region of its home, where \a cap of the traffic may
-/// move in a second.
+/// Returns whether one more request may leave the region of its home, where \a cap is the share of
+/// the traffic that may move in a second.
 ///
-/// What goes wrong without it: at a peak each entry finds the home region slow and the others fast,
-/// a third of a region's traffic leaves within two seconds, the targets there work three times as
-/// long on objects that they do not know, and it all comes back two seconds later. Each entry
-/// applies the cap to its own traffic, so that the sum keeps it without a message.
-/// Thread safety: any thread.
+/// Without it, at a peak each entry finds the home region slow and the others fast. A third of a
+/// region's traffic leaves within two seconds, the targets there take three times as long on
+/// objects that are cold to them, and all of it returns two seconds later. Each entry applies the
+/// cap to its own traffic, so that the sum keeps it without a message. Thread safety: any thread.
 bool maySpill(const SpillMeter &meter, Model::SharePerSecond cap, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/TargetChoice.cpp
+++ b/Libraries/LibPolicy/TargetChoice.cpp
@@ -16,7 +16,7 @@
                             Model::Microseconds run)
 {
     const double slots = std::max(1.0, candidate.slots_);
-    // The request joins the ones that are there; whoever finds a free slot does not wait.
+    // Counts this request too; a request that finds a free slot does not wait.
     const double ahead = std::max(0.0, candidate.load_ + 1 - slots);
     const auto wait = scaled(work.serviceMean_, ahead / slots * candidate.slowness_);
     return candidate.roundTrip_ + wait + scaled(run, candidate.slowness_)
--- a/Libraries/LibPolicy/TargetChoice.h
+++ b/Libraries/LibPolicy/TargetChoice.h
@@ -8,91 +8,92 @@
 
 namespace Policy {
 
-/// What an entry knows of a target that could take a request.
+/// The properties of a target that could take a request, as known to this entry.
 struct Candidate
 {
-    /// The caller's index of the target.
+    /// Index of the target in the calling code.
     std::size_t target_ = 0;
-    /// The failure domain is the home of the request's object.
+    /// The target is in the home domain of the request's object.
     bool isHome_ = false;
-    /// It has the highest rank for the object in a failure domain that is the home of the object
+    /// The target has the highest rank for the object in a failure domain that is the object's home
     /// for callers of that domain, though not for this caller.
     bool isHomeOfOthers_ = false;
-    /// It takes what its better ranked neighbour in the home domain has no slot for.
+    /// Secondary owner: takes requests for which the better ranked target in the home domain has no
+    /// slot.
     bool isOverflow_ = false;
-    /// The target has handled the object lately, as this entry saw itself.
+    /// This entry has recently seen the target handle the object.
     bool isKnownWarm_ = false;
-    /// Otherwise, how likely it is that others have sent it there, from 0 to 1.
+    /// Otherwise, the probability (0 to 1) that other entries have sent the object there.
     double othersWarmth_ = 0;
     /// The request would run in another region than that of the object's home.
     bool leavesHomeRegion_ = false;
     Model::Microseconds roundTrip_{0};
-    /// Requests that the target likely works on or keeps waiting.
+    /// Estimated number of requests that the target processes or queues.
     double load_ = 0;
     double slots_ = 1;
-    /// How many times as long as others of its service it takes.
+    /// Ratio of the target's time to that of other targets of its service.
     double slowness_ = 1;
-    /// Part of the requests that it refused or failed lately.
+    /// Fraction of recent requests that the target refused or failed.
     double failureRate_ = 0;
 };
 
-/// How long the work of a request takes, without any wait.
+/// Processing time of a request, without any wait.
 struct WorkEstimate
 {
     Model::Microseconds warm_{0};
     Model::Microseconds cold_{0};
-    /// Mean over all requests that the targets of the service work on; what a wait is made of.
+    /// Mean over all requests that the targets of the service process; waits are multiples of it.
     Model::Microseconds serviceMean_{0};
 };
 
-/// How a load in a full service counts, against one in an idle service: at the most this often.
+/// Largest weight of a cold load in a full service, relative to an idle service.
 constexpr double mostLoadPrice = 4;
 
-/// Below this use of a service's slots a load takes time that nobody needs, and a second owner may
-/// load an object whose first one is full.
+/// Below this utilisation of a service's slots a cold load takes only idle time, and a secondary
+/// owner may load an object whose first owner is full.
 constexpr double useWithoutPressure = 0.6;
 
-/// Returns what loading an object costs the requests that come after it, where \a use of the
-/// service's slots is taken (0 to 1): the time of a load beyond that of warm work, times what each
-/// unit of slot time costs in waits at that use.
+/// Returns the cost of a cold load to later requests, where \a use of the service's slots is taken
+/// (0 to 1): the extra time of a cold load over warm work, times the wait that each unit of slot
+/// time causes at that utilisation.
 ///
-/// What goes wrong without it: under load each request that strays makes another target load its
-/// object, which takes the slot time of three or four warm requests and pushes another object out;
-/// more requests find their owners busy and stray, and the service stays so after the cause has
-/// gone. Thread safety: any thread.
+/// Without it, under load each off-owner request makes another target load its object, which takes
+/// the slot time of three or four warm requests and evicts another object. More requests then find
+/// their owners busy and go off-owner, and the service stays in this state after the cause has
+/// ended. Thread safety: any thread.
 Model::Microseconds loadPrice(const WorkEstimate &work, double use);
 
-/// What a refusal or failure costs in time: the round trip and the wait at a second target.
+/// Time cost of a refusal or failure: the round trip and the wait at a second target.
 constexpr Model::Microseconds failureCost{300000};
 
-/// Returns when \a candidate would likely have answered, counted from now.
+/// Returns the expected time until \a candidate answers.
 ///
 /// Thread safety: any thread.
 Model::Microseconds expectedTime(const Candidate &candidate, const WorkEstimate &work);
 
-/// Returns when a sound target answers at the latest as a rule: as expectedTime(), but the target
-/// has to load the object unless it surely has it.
+/// Returns the time within which a healthy target normally answers: as expectedTime(), but with a
+/// cold load unless the target is known to be warm.
 ///
-/// What goes wrong when a target is held to expectedTime(): each first request for an object takes
-/// three to four times as long as one that is warm, the target is taken for slow, its objects go
-/// to others that must load them too, and those look slow in turn. Thread safety: any thread.
+/// If targets were held to expectedTime(), each first request for an object would take three to
+/// four times the warm time and make the target look slow; its objects would go to others that must
+/// load them too, and those would look slow in turn. Thread safety: any thread.
 Model::Microseconds latestUsualTime(const Candidate &candidate, const WorkEstimate &work);
 
-/// What was chosen and why.
+/// The chosen candidate and its expected time.
 struct TargetChoice
 {
     /// Index into the candidates.
     std::size_t candidate_ = 0;
-    /// When the answer is expected, counted from now, without the penalty for straying.
+    /// Expected time until the answer, without the cold-load cost.
     Model::Microseconds expected_{0};
 };
 
-/// Returns the candidate with the earliest expected answer, the penalty for straying included, or
-/// nothing if there is none.
+/// Returns the candidate with the earliest expected answer, cold-load cost included, or
+/// std::nullopt if there is no candidate.
 ///
-/// What goes wrong with the least loaded target instead: each request finds a target that has not
-/// handled its object, works three times as long there, and the slots are gone at a third of what
-/// they carry. Thread safety: any thread.
+/// If the least loaded target were chosen instead, each request would go to a target that has not
+/// handled its object and take three times as long there, and the slots would be full at a third of
+/// their normal throughput. Thread safety: any thread.
 std::optional<TargetChoice> chooseAmong(const std::vector<Candidate> &candidates,
                                         const WorkEstimate &work, double use);
 
--- a/Libraries/LibPolicy/TargetPicker.cpp
+++ b/Libraries/LibPolicy/TargetPicker.cpp
@@ -19,7 +19,7 @@
     return std::max<std::int64_t>(0, target.reportedInFlight_ - target.ownInFlightAtReport_);
 }
 
-/// By what this entry and its peers have in progress.
+/// In-flight requests by this entry's and its peers' counts.
 std::int64_t knownInFlight(const TargetView &target)
 {
     std::int64_t others = std::max<std::int64_t>(0, *target.peersInFlight_);
@@ -33,7 +33,7 @@
     return std::clamp<Model::Microseconds>(target.latency_, shortestReportLife, longestReportLife);
 }
 
-/// Expected time to finish one more request: busier and slower targets score higher.
+/// Relative time to finish one more request: grows with the target's load and latency.
 double cost(const TargetView &target)
 {
     const auto usable = static_cast<double>(std::max<std::int64_t>(1, usableSlots(target)));
--- a/Libraries/LibPolicy/TargetPicker.h
+++ b/Libraries/LibPolicy/TargetPicker.h
@@ -9,111 +9,113 @@
 
 namespace Policy {
 
-/// What an entry knows of one target at this moment, copied out of the shared counters.
+/// Snapshot of an entry's counters for one target.
 struct TargetView
 {
     std::int64_t slots_ = 1;
-    /// Requests of this entry that the target is working on.
+    /// Requests of this entry that the target processes.
     std::int64_t ownInFlight_ = 0;
-    /// All requests in progress by the target's latest answer, and this entry's part in it then.
+    /// All requests in progress by the target's latest report, and this entry's part of them at
+    /// that time.
     std::int64_t reportedInFlight_ = 0;
     std::int64_t ownInFlightAtReport_ = 0;
     Model::Milliseconds reportAge_{0};
-    /// What the other entries of the region said a moment ago that they have in progress here.
+    /// Requests that the other entries of the region have in progress here, by their recent
+    /// reports.
     std::optional<std::int64_t> peersInFlight_;
     Model::Microseconds latency_{0};
-    /// How long the target has been taking work; new ones get little at first.
+    /// Time since the target began to take work; drives the slow start.
     Model::Milliseconds inUseFor_{0};
-    /// It failed or fell silent just now and has not answered since.
+    /// The target recently failed or stopped answering and has not answered since.
     bool isSuspect_ = false;
     bool isLeaving_ = false;
 };
 
-/// A report fades within the usual latency of the target, but within these bounds.
+/// A report decays within the target's usual latency, clamped to these bounds.
 constexpr Model::Milliseconds shortestReportLife{5};
 constexpr Model::Milliseconds longestReportLife{500};
-/// What peers say is believed unless the target itself said otherwise within this time.
+/// A target's own report takes precedence over peers' reports until it is older than this.
 constexpr Model::Milliseconds freshReport{5};
-/// The time in which a cold target's share grows from the least to the whole.
+/// Duration in which a cold target's share grows from the minimum to the whole.
 constexpr Model::Milliseconds slowStartPeriod{3000};
 constexpr double slowStartLeastShare = 0.25;
 
-/// Returns the requests that the target is likely working on, by own observation first: never below
-/// this entry's own; then what the region's other entries say; without that, of the others' part in
-/// the latest report what has likely not finished since.
+/// Returns the estimated number of requests that the target processes: this entry's own, plus those
+/// that the region's other entries report. Without peer reports, adds the others' part of the
+/// target's latest report, decayed by what has likely finished since. Never below this entry's own.
 ///
-/// What goes wrong without the peers' word: each of four entries hears a target at every fourth
-/// answer. Under load all of them believe the same slot free, three are refused, and a target that
-/// refused once is passed over for a part of its latency, beside waiting requests.
+/// Without peer reports, each of four entries receives a target's report with every fourth answer.
+/// Under load all of them consider the same slot free, three are refused, and a target that refused
+/// once is skipped for a fraction of its latency although requests wait.
 ///
-/// What goes wrong without the fading: an entry that last heard of a full target believes so until
-/// it hears again, and its requests wait beside slots that others' requests gave back.
+/// Without the decay, an entry whose last report showed a full target considers it full until the
+/// next report, and its requests wait although others' requests have released slots.
 ///
 /// Thread safety: any thread.
 std::int64_t likelyInFlight(const TargetView &target);
 
-/// Returns the requests that the target is likely working on if the others go on as they did: their
-/// part in the latest report counts whole until it is as old as the target's usual latency.
+/// Returns the estimated number of requests that the target processes if the others keep their
+/// rate: their part of the latest report counts in full until it is as old as the target's usual
+/// latency.
 ///
-/// What goes wrong with likelyInFlight() instead, where many slots are added up: others refill the
-/// slots that come free, so their faded part is too low, every entry believes that the
-/// region has room below a limit on its use, and bulk fills the slots that it must leave to small
-/// callers. Thread safety: any thread.
+/// likelyInFlight() is too low where many slots are added up, because others refill the slots that
+/// come free. Every entry would see room below a limit on the region's use, and bulk would fill the
+/// slots reserved for small callers. Thread safety: any thread.
 std::int64_t steadyInFlight(const TargetView &target);
 
-/// Returns the slots that may be filled now: all, or for a target that is still cold a part, so
-/// that a bulk shift does not land on empty caches. Thread safety: any thread.
+/// Returns the slots that may be used now: all, or a fraction for a cold target, so that a bulk
+/// shift does not hit empty caches. Thread safety: any thread.
 std::int64_t usableSlots(const TargetView &target);
 
-/// Returns the index of the target that should get the next request: the better of two that are
-/// drawn by \a firstDraw and \a secondDraw from those with a free slot.
+/// Returns the index of the target for the next request: the better of two targets with a free
+/// slot, drawn by \a firstDraw and \a secondDraw (power of two choices).
 ///
-/// Returns nothing if no target has a free slot; there is no last reason then.
-/// Thread safety: any thread.
+/// Returns std::nullopt if no target has a free slot; sets no last reason in that case. Thread
+/// safety: any thread.
 std::optional<std::size_t> chooseTarget(const std::vector<TargetView> &targets,
                                         std::uint64_t firstDraw, std::uint64_t secondDraw);
 
-/// Slots of several targets together.
+/// Total slots and in-flight requests of several targets.
 struct SlotUse
 {
     std::int64_t slots_ = 0;
     std::int64_t inFlight_ = 0;
 };
 
-/// Adds up the slots of the targets that take work, and by steadyInFlight() what fills them.
-/// Thread safety: any thread.
+/// Sums the slots of the targets that accept work, and their in-flight requests by
+/// steadyInFlight(). Thread safety: any thread.
 SlotUse slotUse(const std::vector<TargetView> &targets);
 
-/// Tells whether one more slot of \a use may be filled under \a useLimit, a part from 0 to 1.
+/// Returns whether one more slot of \a use may be used under \a useLimit, a fraction from 0 to 1.
 ///
-/// What goes wrong without it: a bulk caller fills every slot of a region, and a small caller's
-/// single request waits a whole service time. The few slots that bulk leaves are free at once.
-/// Thread safety: any thread.
+/// Without it, a bulk caller fills every slot of a region, and a small caller's single request
+/// waits a whole service time. The few slots that bulk leaves are free at once. Thread safety: any
+/// thread.
 bool mayFillSlot(const SlotUse &use, double useLimit);
 
-/// What the entries of a region told each other of one service when they last exchanged notes.
+/// State of one service's slots as of the last exchange between the entries of a region.
 struct PoolNotes
 {
     std::int64_t slots_ = 0;
     std::int64_t ownInFlight_ = 0;
     std::int64_t peersInFlight_ = 0;
-    /// Entries with waiting requests, this one included.
+    /// Number of entries with waiting requests, including this one.
     std::int64_t waitingEntries_ = 1;
     /// Drawn anew for each exchange, from 0 to below 1.
     double dither_ = 0;
 };
 
-/// As mayFillSlot(), for an entry that shares the slots with others: now that it has \a ownInFlight
-/// requests in progress, may it start one more of a class under \a useLimit?
+/// As mayFillSlot(), for an entry that shares the slots with others: returns whether an entry with
+/// \a ownInFlight requests in progress may start one more of a class under \a useLimit.
 ///
-/// What goes wrong without it: slots come free in a burst, each of four entries sees the same room
-/// and fills it, bulk is at four times the room, and small callers wait until the burst is over.
-/// Here each entry takes an equal part of the room that the last notes showed, and refills what it
-/// gives back itself; where bulk is above the limit, each gives up its part of the excess. The
-/// dither shares out rooms smaller than the number of entries. Thread safety: any thread.
+/// Without it, slots come free in a burst, each of four entries sees the same room and fills it,
+/// bulk takes four times the room, and small callers wait until the burst ends. Here each entry
+/// takes an equal part of the room at the last exchange, and refills the slots that it releases
+/// itself. If bulk is above the limit, each entry gives up its part of the excess. The dither
+/// distributes rooms smaller than the number of entries. Thread safety: any thread.
 bool mayFillShared(const PoolNotes &notes, std::int64_t ownInFlight, double useLimit);
 
-/// Tells whether any target could take work at some time (none is leaving or suspect).
+/// Returns whether any target is neither leaving nor suspect, and so could take work.
 ///
 /// Thread safety: any thread.
 bool anyUsable(const std::vector<TargetView> &targets);
--- a/Libraries/LibPolicy/WorkTimes.cpp
+++ b/Libraries/LibPolicy/WorkTimes.cpp
@@ -34,7 +34,7 @@
     } else {
         blend(times.coldUs_, value, workTimeWeight);
     }
-    // Cold work is never believed to be faster than warm work.
+    // Cold work never counts as faster than warm work.
     times.coldUs_ = std::max(times.coldUs_, times.warmUs_);
 }
 
@@ -45,8 +45,8 @@
 
 void learnKept(ObjectMemory &memory, Model::Milliseconds age, bool wasWarm)
 {
-    // One slow answer says little, so the time shrinks by a part; one warm answer after a longer
-    // time says more than the many after a shorter one.
+    // A single slow answer is weak evidence, so it shrinks the time by a tenth only. One warm
+    // answer after a longer time is stronger evidence than many after a shorter one.
     if (!wasWarm && age < memory.kept_) {
         memory.kept_ = std::max(shortestKept, std::max(age, memory.kept_ * 9 / 10));
     } else if (wasWarm && age > memory.kept_ / 2) {
--- a/Tests/LibPolicy/TestFairness.cpp
+++ b/Tests/LibPolicy/TestFairness.cpp
@@ -32,9 +32,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a pilot's single enquiry waits behind hundreds of a partner's.
-    // Sequence: a bulk caller fills the queue; then one small request arrives.
-    // Cause: one common line in order of arrival.
+    // In a single FIFO queue, a small caller's only request would wait behind hundreds of requests
+    // of a bulk caller that filled the queue before.
     void smallCallerGoesBeforeALongLine()
     {
         Policy::FairQueue queue;
@@ -142,7 +141,7 @@
                     taken += Policy::takeToken(bucket, part, now) ? 1 : 0;
                 }
             }
-            // Each holder may have saved a tenth of a second's worth, or one request.
+            // Each holder may have saved the tokens of a tenth of a second, or one.
             const double saved = std::max(1.0, part.value() * 0.1) * static_cast<double>(holders);
             RC_ASSERT(taken <= limit.value() + saved + 1e-6);
         });
@@ -163,7 +162,7 @@
         CPPUNIT_ASSERT(!Policy::mayRetry(budget, Policy::Outcome::NotRun, true, 2));
         CPPUNIT_ASSERT(Policy::mayRetry(budget, Policy::Outcome::NotRun, false, 1));
 
-        // Credit that was set aside for a request is there when the request needs it.
+        // Credit reserved for a request is available when the request needs it.
         Policy::RetryBudget small{1};
         CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, false, 1));
         CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, Policy::mostAttempts));
@@ -189,10 +188,10 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(bound), bound >= 165 && bound <= 180);
     }
 
-    // Symptom: under five times the load that the slots carry, nearly every refusal comes only
-    //   after the longest wait of 200 ms, though it was certain on arrival.
-    // Sequence: eight threads of four entries share sixty slots, so each works off 75 a second.
-    // Cause: a bound of sixty for each of them, a line of 0.8 s, because the slots were its least.
+    // Eight threads of four entries share sixty slots, so each thread serves 75 requests a second.
+    // If the slots were the lower bound of the queue, each thread would queue sixty requests, or
+    // 0.8 s of work. Under five times the load that the slots carry, nearly every refusal would
+    // then come only after the longest wait of 200 ms, though it was certain on arrival.
     void lineIsNoLongerThanItsOwnThreadWorksOff()
     {
         Policy::DrainRate rate;
@@ -206,9 +205,8 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(bound), bound >= 5 && bound <= 9);
     }
 
-    // Symptom: the first requests of a burst are refused though slots come free at once.
-    // Sequence: an hour of five requests a second, nobody waiting; then a burst.
-    // Cause: taking the rate of a calm hour for what the slots can do.
+    // After an hour of five requests a second without waiters, a drain rate measured from those
+    // requests would refuse the first requests of a burst though slots come free at once.
     void calmHourSaysNothingOfWhatSlotsCanDo()
     {
         Policy::DrainRate rate;
--- a/Tests/LibPolicy/TestHomes.cpp
+++ b/Tests/LibPolicy/TestHomes.cpp
@@ -11,7 +11,7 @@
     = {Policy::seedOf("a"), Policy::seedOf("b"), Policy::seedOf("c"),
        Policy::seedOf("d"), Policy::seedOf("e"), Policy::seedOf("f")};
 
-/// Three regions of two failure domains, with a sixth of the callers near each domain.
+/// Three regions of two failure domains, with a sixth of the callers connecting to each domain.
 std::vector<DomainCapacity> sixDomains(const std::vector<double> &slots)
 {
     std::vector<DomainCapacity> domains;
@@ -52,10 +52,10 @@
         });
     }
 
-    // Pattern: a third of the callers in a region with a fourteenth of the slots, as at one of our
-    // users: 1, 6 and 7 targets in each failure domain of three regions.
-    // Grounds: 12 slots of 168 are 0.071 of all; planned at 0.95 they carry 0.075 of the demand,
-    // and a third of it is near, so 0.226 of the objects stay; the rich regions keep all of theirs.
+    // A third of the callers are in a region with a fourteenth of the slots, as at one of our
+    // users: 1, 6 and 7 targets in each failure domain of three regions. 12 slots of 168 are 0.071
+    // of all; planned at 0.95 they carry 0.075 of the demand. A third of the demand is local, so
+    // 0.226 of the objects stay; the regions with many slots keep all of theirs.
     void poorRegionKeepsWhatItsSlotsCarry()
     {
         const auto shares = Policy::homeShares(sixDomains({6, 6, 36, 36, 42, 42}));
@@ -85,9 +85,8 @@
             CPPUNIT_ASSERT_DOUBLES_EQUAL(shares[i], counts[i] / double(objects), 0.02);
     }
 
-    // Symptom: after a failure domain is emptied, every target works slowly for a while.
-    // Sequence: one of six domains loses its slots; its objects get new homes.
-    // Cause: a placement in which the others' objects move too, so that all load anew.
+    // One of six domains loses its slots and its objects get new homes. If the other domains'
+    // objects moved too, all targets would load objects again and be slow for a while.
     void losingADomainMovesOnlyItsObjects()
     {
         const std::vector<double> before = {0.25, 0.25, 0.25, 0.25, 0, 0};
@@ -100,7 +99,7 @@
         }
     }
 
-    // Symptom, sequence and cause as above, for one of six targets of a domain.
+    // As above, for one of six targets of a domain.
     void losingATargetMovesOnlyItsObjects()
     {
         for (std::uint64_t object = 0; object < 5000; ++object) {
@@ -127,10 +126,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a third of a region's requests change their region within two seconds.
-    // Sequence: all targets are slow at once, each entry finds the others faster for two seconds,
-    // then its own again.
-    // Cause: choices that follow the faster side without a bound.
+    // All targets are slow at once; each entry finds the other region faster for two seconds, then
+    // its own. Without a bound on spill-over, a third of a region's requests would change their
+    // region within two seconds.
     void windowsDifferByLessThanTheCap()
     {
         Support::assertProperty("spilled shares of two windows differ by the cap at most", [] {
--- a/Tests/LibPolicy/TestLearning.cpp
+++ b/Tests/LibPolicy/TestLearning.cpp
@@ -25,9 +25,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: in the first seconds of a day owners look slow, and requests stray from all of them.
-    // Sequence: every object is asked for the first time, and each answer takes three times as long
-    // as a warm one. Cause: holding targets to the time of warm work.
+    // In the first seconds of a day every object is requested for the first time, and each answer
+    // takes three times as long as a warm one. If targets were held to the warm time, owners would
+    // look slow and their requests would go off-owner.
     void firstRequestForAnObjectSpeaksAgainstNoTarget()
     {
         Candidate home;
@@ -42,9 +42,9 @@
         CPPUNIT_ASSERT(Policy::latestUsualTime(home, work) == work.warm_);
     }
 
-    // Symptom: requests go to other regions' targets, said to be warm, and take several times
-    // as long as was expected. Sequence: each region's callers ask for objects of their
-    // own. Cause: taking the home of an object for other callers for a place that has it.
+    // Each region's callers request objects of their own. If an object's home for other callers
+    // were always considered warm, requests would go to other regions' targets and take several
+    // times as long as expected.
     void othersObjectsAreBelievedAsAnswersShow()
     {
         Policy::WorkTimes times{192000, 640000};
@@ -57,8 +57,8 @@
         CPPUNIT_ASSERT(warmth > 0.9);
     }
 
-    // Pattern: targets that forget what nobody asked for in four seconds. Grounds: 25 objects kept,
-    // six new ones a second while a service is overrun.
+    // Targets evict objects that were not requested for four seconds: they retain 25 objects and
+    // load six new ones a second while a service is overloaded.
     void objectsAreBelievedAsLongAsTargetsKeepThem()
     {
         Policy::ObjectMemory memory;
@@ -68,7 +68,7 @@
         }
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(3000));
         CPPUNIT_ASSERT(memory.kept_ < Milliseconds(6000));
-        // The cause is gone, and objects are kept for long again.
+        // The overload has ended, and objects are retained for long again.
         for (int i = 0; i < 200; ++i)
             Policy::learnKept(memory, Milliseconds(200 * i), true);
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(30000));
@@ -81,9 +81,9 @@
         CPPUNIT_ASSERT(memory.kept_ >= Policy::longestKept * 8 / 10);
     }
 
-    // Symptom: a service stays at three times its usual times after a burst.
-    // Sequence: requests stray, each loads its object anew, which fills the slots of others.
-    // Cause: a load that costs the same in an idle service and in a full one.
+    // If a cold load cost the same in an idle service and in a full one, a service would stay at
+    // three times its usual times after a burst: off-owner requests load their objects again, which
+    // takes the slots of other requests.
     void loadsCostMoreInAFullService()
     {
         const auto load = work.cold_ - work.warm_;
@@ -91,7 +91,7 @@
         CPPUNIT_ASSERT(Policy::loadPrice(work, 0.5) == load);
         CPPUNIT_ASSERT(Policy::loadPrice(work, 0.75) == 3 * load);
         CPPUNIT_ASSERT(Policy::loadPrice(work, 1) == 4 * load);
-        // Half a second of waiting is worth a load elsewhere only where slots are idle.
+        // Half a second of waiting justifies a cold load on another target only if slots are idle.
         Candidate home;
         home.isHome_ = true;
         home.isKnownWarm_ = true;
@@ -119,8 +119,8 @@
                              Policy::chooseAmong({home, other}, work, 0.9)->candidate_);
     }
 
-    // Symptom: an entry that hears of a target once a second believes it idle in between.
-    // Cause: a report that counts for nothing once it is old.
+    // If an old report counted for nothing, an entry that receives a target's report once a second
+    // would consider the target idle in between.
     void othersLoadGoesBackToTheUsual()
     {
         Policy::OthersLoad load;
@@ -151,8 +151,8 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, at(250), 1e-9);
     }
 
-    // Pattern: an entry that calls a far target every three seconds, and one of a large fleet that
-    // calls it every ten. Grounds: a connection may rest for six seconds.
+    // One entry calls a remote target every three seconds, and one of a large fleet calls it every
+    // ten. A connection may stay idle for six seconds.
     void sparesAreForTargetsInUse()
     {
         const Milliseconds life(6000);
--- a/Tests/LibPolicy/TestLoadNews.cpp
+++ b/Tests/LibPolicy/TestLoadNews.cpp
@@ -22,9 +22,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a target that has been relieved is shunned, or a full one gets more.
-    // Sequence: word of an earlier moment arrives by a longer way than that of a later one.
-    // Cause: counting the word that was heard last.
+    // An earlier report arrives over a longer path after a later one. If the last report received
+    // counted, a target that has become idle would be avoided, or a full one would get more
+    // requests.
     void latestWordCountsInWhateverOrderItComes()
     {
         SharedLoad load;
@@ -43,13 +43,13 @@
         const auto later = start + Policy::loadNewsLife;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::othersByNews(load, 0, later), 1e-9);
         CPPUNIT_ASSERT(!Policy::isLoadNews(load, slots, later));
-        // A liar that names less than this instance itself has there harms nobody.
+        // A report below this instance's own requests at the target must not give a negative
+        // number.
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::othersByNews(load, 20, start), 1e-9);
     }
 
-    // Symptom: objects are loaded a second time whenever a few requests meet at their owner.
-    // Sequence: a target is full for a moment, now and then.
-    // Cause: taking every full moment for an owner of too much.
+    // A target is full for short moments. If each of them counted as an overloaded owner, objects
+    // would be loaded a second time whenever a few requests coincide at their owner.
     void onlyLastingFullnessMovesObjects()
     {
         SharedLoad load;
--- a/Tests/LibPolicy/TestPlacement.cpp
+++ b/Tests/LibPolicy/TestPlacement.cpp
@@ -50,9 +50,9 @@
         });
     }
 
-    // Symptom: when a failure domain dies, its traffic lands on the others within a second.
-    // Sequence: half of the traffic's targets die; requests go on.
-    // Cause: a chooser that sends what falls to a dead domain elsewhere, past the cap.
+    // The targets of half of the traffic fail while requests continue. If the share of a failed
+    // domain were sent elsewhere without regard to the cap, its traffic would reach the other
+    // domains within a second.
     void deadDomainsPartIsRefusedNotMoved()
     {
         const Policy::ShareVector shares{{0.5, 0.5}};
@@ -104,9 +104,9 @@
         });
     }
 
-    // Symptom: a target whose reports stopped looks idle and is flooded.
-    // Sequence: the last report said "nothing in progress"; this entry has filled the slots since.
-    // Cause: a report that goes before one's own observation, or is believed for ever.
+    // The last report had no requests in progress, and this entry has filled the slots since. If
+    // the report took precedence over this entry's own count or never expired, a target that
+    // stopped reporting would look idle and be flooded.
     void oldReportsAreNotBelieved()
     {
         Policy::TargetView target;
@@ -118,9 +118,9 @@
         CPPUNIT_ASSERT(!Policy::chooseTarget({target}, 0, 0));
     }
 
-    // Symptom: requests wait for half a second beside free slots.
-    // Sequence: a target is reported full by others' requests; those finish; nobody tells this
-    // entry. Cause: believing a report until the next one comes.
+    // A target is reported full of others' requests, which finish without a further report to this
+    // entry. If a report counted until the next one, requests would wait for half a second although
+    // slots are free.
     void reportsFadeWithinALatency()
     {
         Policy::TargetView target;
@@ -154,9 +154,9 @@
         CPPUNIT_ASSERT(Policy::mayFillSlot({20, 19}, 1.0));
     }
 
-    // Symptom: a small caller waits beside free slots, or is sent to targets that refuse it.
-    // Sequence: four entries each hear of a target by every fourth answer.
-    // Cause: old reports, where the entries themselves know better.
+    // Four entries each receive a target's report with every fourth answer. If these old reports
+    // took precedence over the entries' own counts, a small caller would wait although slots are
+    // free, or be sent to targets that refuse it.
     void peersWordCountsBeforeOldReports()
     {
         Policy::TargetView target;
@@ -168,19 +168,20 @@
         target.peersInFlight_ = 2;
         CPPUNIT_ASSERT_EQUAL(std::int64_t(3), Policy::likelyInFlight(target));
         CPPUNIT_ASSERT_EQUAL(std::int64_t(3), Policy::steadyInFlight(target));
-        // What the target itself said a moment ago counts all the same.
+        // A very recent report of the target itself still counts.
         target.reportAge_ = Milliseconds(1);
         CPPUNIT_ASSERT_EQUAL(std::int64_t(7), Policy::likelyInFlight(target));
-        // Without the peers' word a report counts whole in a sum, and fades for a single slot.
+        // Without peer reports, a target's report counts in full in a sum, and decays for a single
+        // slot.
         target.peersInFlight_.reset();
         target.reportAge_ = Milliseconds(50);
         CPPUNIT_ASSERT_EQUAL(std::int64_t(7), Policy::steadyInFlight(target));
         CPPUNIT_ASSERT_EQUAL(std::int64_t(4), Policy::likelyInFlight(target));
     }
 
-    // Symptom: pilots wait 70 ms beside bulk in bursts, though bulk may fill 85% of the slots only.
-    // Sequence: slots come free together; every entry sees the same room and fills it.
-    // Cause: the room counted once for each entry.
+    // Slots come free together and every entry sees the same room. If each of them filled all of
+    // it, small callers would wait 70 ms behind bulk in bursts, though bulk may use only 85% of the
+    // slots.
     void entriesTogetherFillNoMoreThanTheRoom()
     {
         Support::assertProperty("bulk of all entries passes its limit by one for each at most", [] {
@@ -207,9 +208,8 @@
         });
     }
 
-    // Symptom: bulk stays far below what it may use.
-    // Sequence: a room smaller than the number of entries.
-    // Cause: everyone's part of it rounded down to none.
+    // If each entry's part of a room smaller than the number of entries were rounded down to zero,
+    // bulk would stay far below what it may use.
     void entriesTogetherLeaveNoRoomForLong()
     {
         Support::assertProperty("a room of any size is filled within a second of notes", [] {
@@ -235,9 +235,8 @@
         });
     }
 
-    // Symptom: targets refuse connections when all instances are replaced at once.
-    // Sequence: every entry and its replacement hold full pools.
-    // Cause: pools sized by today's entries alone.
+    // All instances are replaced at once, and every entry and its replacement hold full pools. If
+    // pools were sized by the current entries alone, targets would refuse connections.
     void poolsOfAllEntriesStayBelowTheTargetsConnections()
     {
         Support::assertProperty(
@@ -270,9 +269,9 @@
             CPPUNIT_ASSERT(instance.id_.value() != "i1" && instance.id_.value() != "i4");
     }
 
-    // Symptom: during a replacement a region's callers are sent to far entries and refused there.
-    // Sequence: the last old entries leave in the moment in which the new ones come up.
-    // Cause: a look-up that knows only leaving entries of the region and names none of them.
+    // During a replacement the last old entries leave while the new ones start. If a look-up that
+    // knows only leaving entries of the region returned none of them, the region's callers would be
+    // sent to remote entries and refused there.
     void leavingEntriesAreNamedWhereTheRegionHasNoOthers()
     {
         std::vector<Policy::EntryCandidate> candidates(2);
@@ -287,10 +286,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("leaving"), ranked.front().id_.value());
     }
 
-    // Symptom: a region dies and its callers get no answer at all for seconds.
-    // Sequence: all entries of the region are killed; look-ups of other regions still believe the
-    //   region's last word and name its entries, which refuse connections.
-    // Cause: a look-up that names entries of one region only.
+    // All entries of a region are killed; look-ups in other regions still rely on the region's last
+    // summary and return its entries, which refuse connections. If a look-up returned entries of
+    // one region only, the region's callers would get no answer at all for seconds.
     void lastPlaceNamesAnEntryOfAnotherRegion()
     {
         std::vector<Policy::EntryCandidate> candidates;
@@ -328,10 +326,9 @@
         }
     }
 
-    // Symptom: requests for a region that has just died all end as unknown.
-    // Sequence: its entries die; until its last summary is too old, requests are handed over to
-    //   them, and what was sent may have arrived.
-    // Cause: choosing among the named entries without remembering which were lost a moment ago.
+    // The entries of a region fail; until its last summary expires, requests are forwarded to them,
+    // and sent bytes may have arrived. If the choice ignored which entries were lost recently, all
+    // requests for the region would end as unknown.
     void lostEntriesAreTriedOnceInEachPause()
     {
         std::vector<Model::Instance> entries(2);
--- a/Tests/LibPolicy/TestTargetChoice.cpp
+++ b/Tests/LibPolicy/TestTargetChoice.cpp
@@ -38,8 +38,8 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Pattern: a burst on one target while others idle. Grounds: warm work takes 144 ms and cold
-    // work 480 ms, so a request gains nothing elsewhere until nearly fourteen wait at its owner.
+    // A burst hits one target while others idle. Warm work takes 144 ms and cold work 480 ms, so a
+    // request gains nothing on another target until nearly fourteen wait at its owner.
     void ownerIsKeptWhileItsWaitIsShort()
     {
         const auto choice = Policy::chooseAmong({candidate(true, true, 12, Milliseconds(0)),
@@ -58,9 +58,9 @@
         CPPUNIT_ASSERT(!Policy::chooseAmong({}, work, 0.5));
     }
 
-    // Symptom: a target that works five times as long as others keeps its whole share.
-    // Sequence: its answers come late, one after the other; later it is sound again.
-    // Cause: a choice that knows only how many requests are in progress.
+    // A target's answers become slow, and later normal again. If only the number of requests in
+    // progress counted, a target that takes five times as long as others would keep its whole
+    // share.
     void slowTargetIsPassedOverAndComesBack()
     {
         Policy::TargetPace pace;
@@ -144,9 +144,9 @@
         });
     }
 
-    // Symptom: a target that came back with empty caches crashes again within a second.
-    // Sequence: all entries learn of it at the same moment and send it its share.
-    // Cause: a limit that each entry applies whole, or savings that all spend at once.
+    // All entries detect at the same moment that a target has returned with empty caches, and send
+    // it its share. If each entry applied the whole limit, or all spent saved tokens at once, the
+    // target would crash again within a second.
     void coldTargetsBearTheLimitInAnySecond()
     {
         Support::assertProperty("all entries together keep the limit in any second", [] {
@@ -197,9 +197,9 @@
         return result;
     }
 
-    // Symptom: callers are sent to an instance that lost power seconds ago.
-    // Sequence: its heartbeat stops; peers go on repeating the last one to each other.
-    // Cause: counting a repeated heartbeat as a sign of life.
+    // An instance loses power and its heartbeat stops, while peers keep exchanging the last one. If
+    // a repeated heartbeat counted as a sign of life, callers would be sent to the instance for
+    // seconds.
     void silentInstancesAreNotNamed()
     {
         Policy::Members members;
@@ -211,9 +211,8 @@
         CPPUNIT_ASSERT(Policy::isAlive(members.begin()->second, later));
     }
 
-    // Symptom: a restarted instance gets no callers for as long as its earlier run lasted.
-    // Sequence: it counts its heartbeats from one again.
-    // Cause: comparing heartbeats of two runs.
+    // A restarted instance counts its heartbeats from one again. If heartbeats of two incarnations
+    // were compared, it would get no callers for as long as its earlier incarnation lasted.
     void restartedInstanceCountsAtOnce()
     {
         Policy::Members members;
@@ -222,9 +221,9 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), members.begin()->second.pulse_.heartbeat_);
     }
 
-    // Symptom: a restarted instance gets no callers for ten minutes.
-    // Sequence: its machine's clock steps back by two seconds, then its process is restarted.
-    // Cause: taking the lower incarnation for an earlier run for ever.
+    // The clock of an instance's host steps back by two seconds, then its process is restarted. If
+    // the lower incarnation counted as an earlier one for ever, the instance would get no callers
+    // for ten minutes.
     void runThatBeganBeforeTheClockWentBackIsReplaced()
     {
         Policy::Members members;
@@ -233,7 +232,7 @@
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 7, 1), soon));
         const auto later = start + Policy::aliveFor + Milliseconds(1);
         CPPUNIT_ASSERT(Policy::hearOf(members, member("a", "r", 7, 8), later));
-        // What others still say of the run before is old by then.
+        // Reports that peers still send of the previous incarnation are old by then.
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 8, 701), start));
     }
 
--- a/Tests/LibPolicy/TestTruth.cpp
+++ b/Tests/LibPolicy/TestTruth.cpp
@@ -30,9 +30,8 @@
         CPPUNIT_ASSERT(Policy::outcomeOf(AttemptStage::Answered) == Outcome::Run);
     }
 
-    // Symptom: a release order runs twice.
-    // Sequence: attempts of one key through any entries, in any order; some finish, some never do.
-    // Cause: an attempt that runs without holding the claim.
+    // Attempts with one key go through any entries, in any order; some finish, some never do. If an
+    // attempt ran without holding the claim, a release order would run twice.
     void onlyTheHolderOfAClaimRunsIt()
     {
         Support::assertProperty("at most one attempt runs between two certain 'not run'", [] {
@@ -58,7 +57,7 @@
                     ++runs;
                     break;
                 default:
-                    // It may have run; nobody knows.
+                    // The request may have run; the outcome is unknown.
                     ++runs;
                     break;
                 }
