--- a/Libraries/LibPolicy/Admission.cpp
+++ b/Libraries/LibPolicy/Admission.cpp
@@ -36,13 +36,13 @@
     rate.inWindow_ = 0;
 }
 
-std::size_t queueBound(const DrainRate &rate, Model::Milliseconds longestWait, Model::Slots slots)
+std::size_t queueBound(const DrainRate &rate, Model::Milliseconds maxWait, Model::Slots slots)
 {
     if (rate.perSecond_ == 0)
         return static_cast<std::size_t>(slots.value());
-    const double expected = rate.perSecond_ * Model::inSeconds(longestWait);
-    const double sure = expected - deviationsKept * std::sqrt(expected);
-    return static_cast<std::size_t>(std::max(1.0, sure));
+    const double expected = rate.perSecond_ * Model::inSeconds(maxWait);
+    const double almostCertain = expected - deviationsKept * std::sqrt(expected);
+    return static_cast<std::size_t>(std::max(1.0, almostCertain));
 }
 
 Model::Milliseconds comeBackAfter(const DrainRate &rate, std::size_t waiting)
@@ -67,9 +67,9 @@
 {
     if (limit.value() <= 0)
         return true;
-    const double most = std::max(1.0, limit.value() * bucketSeconds);
+    const double capacity = std::max(1.0, limit.value() * bucketSeconds);
     const double earned = Model::inSeconds(now - bucket.filledAt_) * limit.value();
-    bucket.tokens_ = std::min(most, bucket.tokens_ + std::max(0.0, earned));
+    bucket.tokens_ = std::min(capacity, bucket.tokens_ + std::max(0.0, earned));
     bucket.filledAt_ = now;
     if (bucket.tokens_ < 1)
         return false;
--- a/Libraries/LibPolicy/Admission.h
+++ b/Libraries/LibPolicy/Admission.h
@@ -25,16 +25,16 @@
 void countFinished(DrainRate &rate, bool hasWaiters, Model::SteadyTime now);
 
 /// Returns how many requests may wait: the number that the slots almost certainly serve within
-/// \a longestWait, and at least one. Before the first measurement, \a slots requests may wait.
+/// \a maxWait, and at least one. Before the first measurement, \a slots requests may wait.
 ///
 /// If the bound were the number served on average, the last request in the queue would be served at
-/// the very end of \a longestWait, so every second one would wait the whole time and then be
+/// the very end of \a maxWait, so every second one would wait the whole time and then be
 /// refused.
 ///
 /// If the bound never fell below the slots, each thread of each entry would queue as many requests
-/// as all threads together can serve. The queue would take several times \a longestWait to serve,
+/// as all threads together can serve. The queue would take several times \a maxWait to serve,
 /// and almost all refusals would come only after that wait. Thread safety: any thread.
-std::size_t queueBound(const DrainRate &rate, Model::Milliseconds longestWait, Model::Slots slots);
+std::size_t queueBound(const DrainRate &rate, Model::Milliseconds maxWait, Model::Slots slots);
 
 /// Returns after which delay a caller that is refused for lack of capacity should retry.
 ///
--- a/Libraries/LibPolicy/FairQueue.cpp
+++ b/Libraries/LibPolicy/FairQueue.cpp
@@ -56,12 +56,12 @@
     ++queue.size_;
 }
 
-std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double leastUseLimit)
+std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double minUseLimit)
 {
     const ClassQueue *bestClass = nullptr;
     NextWaiter next;
     for (const auto &[id, classQueue] : queue.classes_) {
-        if (classQueue.size_ == 0 || classQueue.useLimit_ < leastUseLimit)
+        if (classQueue.size_ == 0 || classQueue.useLimit_ < minUseLimit)
             continue;
         if (bestClass && classQueue.virtualTime_ >= bestClass->virtualTime_)
             continue;
--- a/Libraries/LibPolicy/FairQueue.h
+++ b/Libraries/LibPolicy/FairQueue.h
@@ -66,9 +66,9 @@
 };
 
 /// Returns the request that should start next, without removing it. Skips classes whose use limit
-/// is below \a leastUseLimit, so that a class that may not use the free slot does not block one
+/// is below \a minUseLimit, so that a class that may not use the free slot does not block one
 /// that may. Thread safety: as enqueue().
-std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double leastUseLimit = 0);
+std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double minUseLimit = 0);
 
 /// Removes the request that nextWaiter() returned and charges it to its caller and class.
 ///
--- a/Libraries/LibPolicy/LoadNews.cpp
+++ b/Libraries/LibPolicy/LoadUpdate.cpp
@@ -1,51 +1,52 @@
-#include "LoadNews.h"
+#include "LoadUpdate.h"
 
 #include <algorithm>
 
 namespace Policy {
 
-void learnLoad(SharedLoad &load, double inProgress, Model::Slots slots, Model::SteadyTime saidAt)
+void learnLoad(SharedLoad &load, double inProgress, Model::Slots slots,
+               Model::SteadyTime reportedAt)
 {
-    if (saidAt < load.saidAt_)
+    if (reportedAt < load.saidAt_)
         return;
-    const bool wasSilent = saidAt - load.saidAt_ >= loadNewsLife;
+    const bool wasSilent = reportedAt - load.saidAt_ >= loadReportLifetime;
     if (inProgress < static_cast<double>(slots.value())) {
         load.fullSince_.reset();
     } else if (!load.fullSince_ || wasSilent) {
-        load.fullSince_ = saidAt;
+        load.fullSince_ = reportedAt;
     }
     load.inProgress_ = inProgress;
-    load.saidAt_ = saidAt;
+    load.saidAt_ = reportedAt;
 }
 
 bool isLastinglyFull(const SharedLoad &load, Model::SteadyTime now)
 {
-    const bool isFresh = now - load.saidAt_ < loadNewsLife;
-    return isFresh && load.fullSince_ && now - *load.fullSince_ >= lastingFullness;
+    const bool isFresh = now - load.saidAt_ < loadReportLifetime;
+    return isFresh && load.fullSince_ && now - *load.fullSince_ >= persistentFullnessPeriod;
 }
 
 bool isLoadNews(const SharedLoad &load, Model::Slots slots, Model::SteadyTime now)
 {
-    return now - load.saidAt_ < loadNewsLife
+    return now - load.saidAt_ < loadReportLifetime
            && load.inProgress_ >= static_cast<double>(slots.value());
 }
 
 double othersByNews(const SharedLoad &load, double own, Model::SteadyTime now)
 {
-    if (now - load.saidAt_ >= loadNewsLife)
+    if (now - load.saidAt_ >= loadReportLifetime)
         return 0;
     return std::max(0.0, load.inProgress_ - own);
 }
 
 void keepLatest(std::vector<TargetLoad> &loads)
 {
-    if (loads.size() <= mostLoadsTold)
+    if (loads.size() <= maxLoadsPerMessage)
         return;
-    const auto end = loads.begin() + static_cast<std::ptrdiff_t>(mostLoadsTold);
+    const auto end = loads.begin() + static_cast<std::ptrdiff_t>(maxLoadsPerMessage);
     std::nth_element(loads.begin(), end, loads.end(), [](const TargetLoad &a, const TargetLoad &b) {
         return a.age_ < b.age_;
     });
-    loads.resize(mostLoadsTold);
+    loads.resize(maxLoadsPerMessage);
 }
 
 } // namespace Policy
--- a/Libraries/LibPolicy/LoadNews.h
+++ b/Libraries/LibPolicy/LoadUpdate.h
@@ -30,18 +30,19 @@
 };
 
 /// Lifetime of a load report: a few rounds of exchanges between instances.
-constexpr Model::Milliseconds loadNewsLife{1500};
+constexpr Model::Milliseconds loadReportLifetime{1500};
 
 /// Limits the loads in one message to half a kilobyte.
-constexpr std::size_t mostLoadsTold = 64;
+constexpr std::size_t maxLoadsPerMessage = 64;
 
-/// Records the load that a target with \a slots reported at \a saidAt, unless a later report is
+/// Records the load that a target with \a slots reported at \a reportedAt, unless a later report is
 /// known. Thread safety: \a load belongs to the calling thread.
-void learnLoad(SharedLoad &load, double inProgress, Model::Slots slots, Model::SteadyTime saidAt);
+void learnLoad(SharedLoad &load, double inProgress, Model::Slots slots,
+               Model::SteadyTime reportedAt);
 
 /// A target that is full for this duration owns more objects than it can serve; a shorter period
 /// can be a coincidence of a few requests.
-constexpr Model::Milliseconds lastingFullness{2000};
+constexpr Model::Milliseconds persistentFullnessPeriod{2000};
 
 /// Returns whether every report for at least this duration had the target full. Thread safety: any
 /// thread.
--- a/Libraries/LibPolicy/OthersLoad.cpp
+++ b/Libraries/LibPolicy/OthersLoad.cpp
@@ -10,32 +10,32 @@
 /// A report older than this is stale, whatever the work time.
 constexpr Model::Microseconds longestFresh{500000};
 
-double usualAt(const OthersLoad &load, Model::SteadyTime now)
+double averageAt(const OthersLoad &load, Model::SteadyTime now)
 {
     const double halves
-        = Model::inSeconds(now - load.reportedAt_) / Model::inSeconds(usualLoadHalfLife);
-    return load.usual_ * std::exp2(-std::max(0.0, halves));
+        = Model::inSeconds(now - load.reportedAt_) / Model::inSeconds(averageLoadHalfLife);
+    return load.average_ * std::exp2(-std::max(0.0, halves));
 }
 
 } // namespace
 
 void learnOthersLoad(OthersLoad &load, double others, Model::SteadyTime now)
 {
-    const double usual = usualAt(load, now);
+    const double average = averageAt(load, now);
     load.latest_ = others;
-    load.usual_ = usual + (others - usual) * usualLoadWeight;
+    load.average_ = average + (others - average) * averageLoadWeight;
     load.reportedAt_ = now;
 }
 
 double othersLoadAt(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
 {
-    const double usual = usualAt(load, now);
+    const double average = averageAt(load, now);
     const double ages
         = Model::inSeconds(now - load.reportedAt_) / std::max(0.001, Model::inSeconds(workTime));
     // Full weight for one work time; after that the reported requests end and others take their
     // place.
     const double kept = std::exp(-std::max(0.0, ages - 1));
-    return usual + (load.latest_ - usual) * kept;
+    return average + (load.latest_ - average) * kept;
 }
 
 double freshOthersLoad(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
--- a/Libraries/LibPolicy/OthersLoad.h
+++ b/Libraries/LibPolicy/OthersLoad.h
@@ -10,16 +10,16 @@
 {
     double latest_ = 0;
     /// Exponential moving average of the reports.
-    double usual_ = 0;
+    double average_ = 0;
     Model::SteadyTime reportedAt_ = Model::longAgo;
 };
 
 /// Weight of one report in the average: about the last five count.
-constexpr double usualLoadWeight = 0.2;
+constexpr double averageLoadWeight = 0.2;
 
 /// Half-life of the average without a report, so that a target that other entries no longer use is
 /// tried again.
-constexpr Model::Milliseconds usualLoadHalfLife{4000};
+constexpr Model::Milliseconds averageLoadHalfLife{4000};
 
 /// Records that a target reported \a others requests in progress that are not this entry's. Thread
 /// safety: \a load belongs to the calling thread.
--- a/Libraries/LibPolicy/Outcome.h
+++ b/Libraries/LibPolicy/Outcome.h
@@ -39,15 +39,15 @@
 
 /// Attempts beyond the first per request, on average.
 constexpr double retryShare = 0.1;
-constexpr double largestRetryCredit = 10;
+constexpr double maxRetryCredit = 10;
 /// Total attempts per request.
-constexpr int mostAttempts = 2;
+constexpr int maxAttemptsPerRequest = 2;
 
 /// The rate at which credit is earned, and its maximum.
 struct RetryTerms
 {
     double share_ = retryShare;
-    double largest_ = largestRetryCredit;
+    double largest_ = maxRetryCredit;
 };
 
 /// Earns credit for one arriving request. Thread safety: \a budget belongs to the calling thread.
@@ -72,6 +72,6 @@
 /// prevent recovery. Without the check of the outcome, a non-idempotent request that may have
 /// started runs twice. Thread safety: as above.
 bool mayRetry(RetryBudget &budget, Outcome outcome, bool isIdempotent, int attempts,
-              int attemptLimit = mostAttempts);
+              int attemptLimit = maxAttemptsPerRequest);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RequestAdmission.cpp
+++ b/Libraries/LibPolicy/RequestAdmission.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Model::Milliseconds leastReturn{100};
-constexpr Model::Milliseconds longestReturn{2000};
+constexpr Model::Milliseconds minReturnDelay{100};
+constexpr Model::Milliseconds maxReturnDelay{2000};
 
 } // namespace
 
@@ -28,7 +28,7 @@
                                 double draw)
 {
     const auto excess = std::chrono::duration_cast<Model::Milliseconds>(expected) - latencyGoal;
-    const auto base = std::clamp(3 * excess, 3 * leastReturn, longestReturn);
+    const auto base = std::clamp(3 * excess, 3 * minReturnDelay, maxReturnDelay);
     const auto spread = static_cast<double>(base.count()) * (0.75 + 0.5 * draw);
     return Model::Milliseconds(static_cast<long long>(spread));
 }
--- a/Libraries/LibPolicy/ColdRamp.cpp
+++ b/Libraries/LibPolicy/SlowStart.cpp
@@ -1,4 +1,4 @@
-#include "ColdRamp.h"
+#include "SlowStart.h"
 
 #include "Admission.h"
 
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr double mostSaved = 1;
+constexpr double maxSavedTokens = 1;
 
 double tokensAt(const ColdRamp &ramp, Model::RequestsPerSecond limit, std::size_t holders,
                 Model::SteadyTime now)
 {
     const double rate = limitPart(limit, holders).value();
     const double earned = std::max(0.0, Model::inSeconds(now - ramp.filledAt_)) * rate;
-    return std::min(mostSaved, ramp.tokens_ + earned);
+    return std::min(maxSavedTokens, ramp.tokens_ + earned);
 }
 
 } // namespace
--- a/Libraries/LibPolicy/SpareConnections.h
+++ b/Libraries/LibPolicy/SpareConnections.h
@@ -9,7 +9,7 @@
 {
     /// Moving average of the time between two requests, in seconds. Starts high, so that a target
     /// that was used once is not considered in use.
-    double usualGapS_ = 30;
+    double averageGapS_ = 30;
     Model::SteadyTime usedAt_ = Model::longAgo;
 };
 
--- a/Libraries/LibPolicy/TargetChoice.cpp
+++ b/Libraries/LibPolicy/TargetChoice.cpp
@@ -36,7 +36,7 @@
     return timeFor(candidate, work, candidate.isKnownWarm_ ? work.warm_ : work.cold_);
 }
 
-Model::Microseconds loadPrice(const WorkEstimate &work, double use)
+Model::Microseconds coldLoadCost(const WorkEstimate &work, double use)
 {
     const double idle = std::max(1 - use, 0.01);
     return scaled(work.cold_ - work.warm_, std::clamp(use / idle, 1.0, mostLoadPrice));
@@ -45,15 +45,15 @@
 std::optional<TargetChoice> chooseAmong(const std::vector<Candidate> &candidates,
                                         const WorkEstimate &work, double use)
 {
-    const auto price = loadPrice(work, use);
+    const auto loadCost = coldLoadCost(work, use);
     std::optional<TargetChoice> best;
     Model::Microseconds bestCost{0};
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const auto expected = expectedTime(candidates[i], work);
         const Candidate &candidate = candidates[i];
         const bool isFree = candidate.isHome_ || candidate.isKnownWarm_
-                            || (candidate.isOverflow_ && use < useWithoutPressure);
-        const auto cost = expected + (isFree ? Model::Microseconds(0) : price);
+                            || (candidate.isOverflow_ && use < maxUseForSecondaryLoad);
+        const auto cost = expected + (isFree ? Model::Microseconds(0) : loadCost);
         if (best && cost >= bestCost)
             continue;
         best = TargetChoice{i, expected};
--- a/Libraries/LibPolicy/TargetChoice.h
+++ b/Libraries/LibPolicy/TargetChoice.h
@@ -51,7 +51,7 @@
 
 /// Below this utilisation of a service's slots a cold load takes only idle time, and a secondary
 /// owner may load an object whose first owner is full.
-constexpr double useWithoutPressure = 0.6;
+constexpr double maxUseForSecondaryLoad = 0.6;
 
 /// Returns the cost of a cold load to later requests, where \a use of the service's slots is taken
 /// (0 to 1): the extra time of a cold load over warm work, times the wait that each unit of slot
@@ -61,7 +61,7 @@
 /// the slot time of three or four warm requests and evicts another object. More requests then find
 /// their owners busy and go off-owner, and the service stays in this state after the cause has
 /// ended. Thread safety: any thread.
-Model::Microseconds loadPrice(const WorkEstimate &work, double use);
+Model::Microseconds coldLoadCost(const WorkEstimate &work, double use);
 
 /// Time cost of a refusal or failure: the round trip and the wait at a second target.
 constexpr Model::Microseconds failureCost{300000};
--- a/Libraries/LibPolicy/TargetPicker.cpp
+++ b/Libraries/LibPolicy/TargetPicker.cpp
@@ -14,7 +14,7 @@
     return likelyInFlight(target) < usableSlots(target);
 }
 
-std::int64_t othersReported(const TargetView &target)
+std::int64_t othersInReport(const TargetView &target)
 {
     return std::max<std::int64_t>(0, target.reportedInFlight_ - target.ownInFlightAtReport_);
 }
@@ -23,14 +23,14 @@
 std::int64_t knownInFlight(const TargetView &target)
 {
     std::int64_t others = std::max<std::int64_t>(0, *target.peersInFlight_);
-    if (target.reportAge_ < freshReport)
-        others = std::max(others, othersReported(target));
+    if (target.reportAge_ < ownReportPrecedence)
+        others = std::max(others, othersInReport(target));
     return target.ownInFlight_ + others;
 }
 
-Model::Microseconds reportLife(const TargetView &target)
+Model::Microseconds reportLifetime(const TargetView &target)
 {
-    return std::clamp<Model::Microseconds>(target.latency_, shortestReportLife, longestReportLife);
+    return std::clamp<Model::Microseconds>(target.latency_, minReportLifetime, maxReportLifetime);
 }
 
 /// Relative time to finish one more request: grows with the target's load and latency.
@@ -49,21 +49,21 @@
     if (target.peersInFlight_)
         return knownInFlight(target);
     const double left
-        = 1 - Model::inSeconds(target.reportAge_) / Model::inSeconds(reportLife(target));
+        = 1 - Model::inSeconds(target.reportAge_) / Model::inSeconds(reportLifetime(target));
     if (left <= 0)
         return target.ownInFlight_;
     return target.ownInFlight_
            + static_cast<std::int64_t>(
-               std::ceil(static_cast<double>(othersReported(target)) * left - 1e-9));
+               std::ceil(static_cast<double>(othersInReport(target)) * left - 1e-9));
 }
 
 std::int64_t steadyInFlight(const TargetView &target)
 {
     if (target.peersInFlight_)
         return knownInFlight(target);
-    if (target.reportAge_ >= reportLife(target))
+    if (target.reportAge_ >= reportLifetime(target))
         return target.ownInFlight_;
-    return target.ownInFlight_ + othersReported(target);
+    return target.ownInFlight_ + othersInReport(target);
 }
 
 std::int64_t usableSlots(const TargetView &target)
@@ -71,7 +71,7 @@
     if (target.inUseFor_ >= slowStartPeriod)
         return target.slots_;
     const double grown = Model::inSeconds(target.inUseFor_) / Model::inSeconds(slowStartPeriod);
-    const double part = std::max(slowStartLeastShare, grown);
+    const double part = std::max(minSlowStartShare, grown);
     const auto usable = static_cast<std::int64_t>(static_cast<double>(target.slots_) * part);
     return std::max<std::int64_t>(1, usable);
 }
@@ -106,17 +106,17 @@
 
 bool mayFillSlot(const SlotUse &use, double useLimit)
 {
-    const double most
+    const double limit
         = std::max(1.0, std::floor(static_cast<double>(use.slots_) * useLimit + 1e-6));
-    return static_cast<double>(use.inFlight_ + 1) <= most;
+    return static_cast<double>(use.inFlight_ + 1) <= limit;
 }
 
 bool mayFillShared(const PoolNotes &notes, std::int64_t ownInFlight, double useLimit)
 {
-    const double most = std::floor(static_cast<double>(notes.slots_) * useLimit + 1e-6);
+    const double limit = std::floor(static_cast<double>(notes.slots_) * useLimit + 1e-6);
     const double used = static_cast<double>(notes.ownInFlight_ + notes.peersInFlight_);
     const double entries = static_cast<double>(std::max<std::int64_t>(1, notes.waitingEntries_));
-    const double change = std::floor((most - used) / entries + notes.dither_);
+    const double change = std::floor((limit - used) / entries + notes.dither_);
     return static_cast<double>(ownInFlight + 1) <= static_cast<double>(notes.ownInFlight_) + change;
 }
 
--- a/Libraries/LibPolicy/TargetPicker.h
+++ b/Libraries/LibPolicy/TargetPicker.h
@@ -32,13 +32,13 @@
 };
 
 /// A report decays within the target's usual latency, clamped to these bounds.
-constexpr Model::Milliseconds shortestReportLife{5};
-constexpr Model::Milliseconds longestReportLife{500};
+constexpr Model::Milliseconds minReportLifetime{5};
+constexpr Model::Milliseconds maxReportLifetime{500};
 /// A target's own report takes precedence over peers' reports until it is older than this.
-constexpr Model::Milliseconds freshReport{5};
+constexpr Model::Milliseconds ownReportPrecedence{5};
 /// Duration in which a cold target's share grows from the minimum to the whole.
 constexpr Model::Milliseconds slowStartPeriod{3000};
-constexpr double slowStartLeastShare = 0.25;
+constexpr double minSlowStartShare = 0.25;
 
 /// Returns the estimated number of requests that the target processes: this entry's own, plus those
 /// that the region's other entries report. Without peer reports, adds the others' part of the
--- a/Libraries/LibPolicy/PartTurns.cpp
+++ b/Libraries/LibPolicy/WeightedRoundRobin.cpp
@@ -1,4 +1,4 @@
-#include "PartTurns.h"
+#include "WeightedRoundRobin.h"
 
 namespace Policy {
 
--- a/Libraries/LibPolicy/WorkTimes.cpp
+++ b/Libraries/LibPolicy/WorkTimes.cpp
@@ -23,7 +23,7 @@
 {
     const auto goalUs
         = static_cast<double>(std::chrono::duration_cast<Model::Microseconds>(latencyGoal).count());
-    return {goalUs * firstWarmPart, goalUs * firstColdPart};
+    return {goalUs * initialWarmFraction, goalUs * initialColdFraction};
 }
 
 void learnWorkTime(WorkTimes &times, Model::Microseconds worked, bool isKnownWarm)
@@ -50,7 +50,7 @@
     if (!wasWarm && age < memory.kept_) {
         memory.kept_ = std::max(shortestKept, std::max(age, memory.kept_ * 9 / 10));
     } else if (wasWarm && age > memory.kept_ / 2) {
-        memory.kept_ = std::min(longestKept, std::max(age, memory.kept_ * 21 / 20));
+        memory.kept_ = std::min(maxRetention, std::max(age, memory.kept_ * 21 / 20));
     }
 }
 
@@ -67,7 +67,7 @@
 {
     pace = paceAt(pace, now);
     const auto usual = static_cast<double>(std::max<long long>(1, expected.count()));
-    const double ratio = std::clamp(static_cast<double>(worked.count()) / usual, 1.0, mostSlowness);
+    const double ratio = std::clamp(static_cast<double>(worked.count()) / usual, 1.0, maxSlowness);
     blend(pace.slowness_, ratio, paceWeight);
     blend(pace.failureRate_, 0, paceWeight);
 }
@@ -82,15 +82,15 @@
 {
     const auto usual = static_cast<double>(std::max<long long>(1, expected.count()));
     const double ratio = static_cast<double>(age.count()) / usual;
-    return ratio < silenceFactor ? 1 : std::min(ratio, mostSlowness);
+    return ratio < silenceFactor ? 1 : std::min(ratio, maxSlowness);
 }
 
 void noteUnreachable(Reachability &state, Model::SteadyTime now)
 {
     state.isProbed_ = false;
     state.failures_ = std::min(state.failures_ + 1, 8);
-    const auto pause = firstRetryPause * (1 << (state.failures_ - 1));
-    state.retryAt_ = now + std::min(pause, longestRetryPause);
+    const auto delay = initialRetryDelay * (1 << (state.failures_ - 1));
+    state.retryAt_ = now + std::min(delay, maxRetryDelay);
 }
 
 void noteReached(Reachability &state)
--- a/Libraries/LibPolicy/WorkTimes.h
+++ b/Libraries/LibPolicy/WorkTimes.h
@@ -13,8 +13,8 @@
 
 /// Initial estimates as fractions of the latency goal: operators set goals between the warm and the
 /// cold time.
-constexpr double firstWarmPart = 0.4;
-constexpr double firstColdPart = 1.2;
+constexpr double initialWarmFraction = 0.4;
+constexpr double initialColdFraction = 1.2;
 
 /// Weight of one measurement in the moving averages: about the last twenty count.
 constexpr double workTimeWeight = 0.05;
@@ -28,22 +28,22 @@
 
 /// Bounds of the estimated retention time of an object.
 constexpr Model::Milliseconds shortestKept{1000};
-constexpr Model::Milliseconds longestKept{120000};
+constexpr Model::Milliseconds maxRetention{120000};
 
 /// Initial estimate. An entry may have started alone, among targets that others use, or with the
 /// whole site; the first twenty answers show which.
-constexpr double firstOthersWarmth = 0.5;
+constexpr double initialPeerWarmth = 0.5;
 
 /// Probability that a target has an object that this entry has not sent there yet, learned per
 /// route from how long the answers took. Not shared between threads.
 struct OthersWarmth
 {
     /// At the object's home, where other entries of the region send it too.
-    double atHome_ = firstOthersWarmth;
+    double atHome_ = initialPeerWarmth;
     /// At the object's home for callers of another region. Some objects are requested by one
     /// region's callers alone: if such a target were considered warm, it would be chosen when the
     /// home is busy and take several times as long as expected.
-    double elsewhere_ = firstOthersWarmth;
+    double elsewhere_ = initialPeerWarmth;
 };
 
 /// Returns whether \a worked is a warm processing time. Thread safety: any thread.
@@ -57,7 +57,7 @@
 /// learned from their answers. Not shared between threads.
 struct ObjectMemory
 {
-    Model::Milliseconds kept_ = longestKept;
+    Model::Milliseconds kept_ = maxRetention;
 };
 
 /// Records whether an object was warm at a target that last handled it \a age ago.
@@ -79,7 +79,7 @@
 
 /// Weight of one answer in a target's pace: three slow answers in a row mark it as slow.
 constexpr double paceWeight = 0.3;
-constexpr double mostSlowness = 20;
+constexpr double maxSlowness = 20;
 
 /// Half-life of slowness and failure rate, so that a slow target occasionally gets a request that
 /// shows its current pace. Without the decay, a target that was slow once would never get another
@@ -116,8 +116,8 @@
     bool isProbed_ = false;
 };
 
-constexpr Model::Milliseconds firstRetryPause{500};
-constexpr Model::Milliseconds longestRetryPause{4000};
+constexpr Model::Milliseconds initialRetryDelay{500};
+constexpr Model::Milliseconds maxRetryDelay{4000};
 
 /// Records that no connection could be made, or that the target answered. Thread safety: \a state
 /// belongs to the calling thread.
--- a/Tests/LibPolicy/TestFairness.cpp
+++ b/Tests/LibPolicy/TestFairness.cpp
@@ -19,22 +19,22 @@
 class TestFairness : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestFairness);
-    CPPUNIT_TEST(smallCallerGoesBeforeALongLine);
+    CPPUNIT_TEST(smallCallerIsServedBeforeALongBacklog);
     CPPUNIT_TEST(classesShareByWeight);
     CPPUNIT_TEST(nothingIsLostOrServedTwice);
     CPPUNIT_TEST(fullQueueDisplacesTheLargestCallerOnly);
     CPPUNIT_TEST(expiredRequestsLeaveTheQueue);
-    CPPUNIT_TEST(limitsOfAllHoldersTogetherKeepTheWholeLimit);
+    CPPUNIT_TEST(dividedLimitsStayWithinTheWholeLimit);
     CPPUNIT_TEST(retriesStayWithinTheBudget);
-    CPPUNIT_TEST(queueHoldsWhatItCanWorkOff);
-    CPPUNIT_TEST(lineIsNoLongerThanItsOwnThreadWorksOff);
-    CPPUNIT_TEST(calmHourSaysNothingOfWhatSlotsCanDo);
+    CPPUNIT_TEST(queueBoundFollowsTheDrainRate);
+    CPPUNIT_TEST(queueBoundMayFallBelowTheSlots);
+    CPPUNIT_TEST(drainRateIgnoresPeriodsWithoutWaiters);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // In a single FIFO queue, a small caller's only request would wait behind hundreds of requests
     // of a bulk caller that filled the queue before.
-    void smallCallerGoesBeforeALongLine()
+    void smallCallerIsServedBeforeALongBacklog()
     {
         Policy::FairQueue queue;
         const auto bulk = callerClass("bulk", 10);
@@ -91,12 +91,12 @@
                         RC_ASSERT(inside.erase(next->waiter_.id_) == 1);
                     }
                 } else {
-                    const auto gone
+                    const auto removed
                         = *rc::gen::inRange(0, 2)
                               ? Policy::displaceFor(queue, which, caller)
                               : Policy::takeExpired(queue, SteadyTime(Milliseconds(50)));
-                    if (gone)
-                        RC_ASSERT(inside.erase(*gone) == 1);
+                    if (removed)
+                        RC_ASSERT(inside.erase(*removed) == 1);
                 }
                 RC_ASSERT(queue.size_ == inside.size());
                 RC_ASSERT(Policy::nextWaiter(queue).has_value() == !inside.empty());
@@ -126,7 +126,7 @@
         CPPUNIT_ASSERT(!Policy::takeExpired(queue, SteadyTime(Milliseconds(50))));
     }
 
-    void limitsOfAllHoldersTogetherKeepTheWholeLimit()
+    void dividedLimitsStayWithinTheWholeLimit()
     {
         Support::assertProperty("the sum over holders never passes the limit in a second", [] {
             const auto holders = static_cast<std::size_t>(*rc::gen::inRange(1, 20));
@@ -165,7 +165,7 @@
         // Credit reserved for a request is available when the request needs it.
         Policy::RetryBudget small{1};
         CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, false, 1));
-        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, Policy::mostAttempts));
+        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, Policy::maxAttemptsPerRequest));
         CPPUNIT_ASSERT(Policy::holdRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::mayRetry(small, Policy::Outcome::NotRun, true, 1));
@@ -173,7 +173,7 @@
         CPPUNIT_ASSERT(Policy::mayRetry(small, Policy::Outcome::Unknown, true, 1));
     }
 
-    void queueHoldsWhatItCanWorkOff()
+    void queueBoundFollowsTheDrainRate()
     {
         Policy::DrainRate rate;
         CPPUNIT_ASSERT_EQUAL(std::size_t(12),
@@ -192,7 +192,7 @@
     // If the slots were the lower bound of the queue, each thread would queue sixty requests, or
     // 0.8 s of work. Under five times the load that the slots carry, nearly every refusal would
     // then come only after the longest wait of 200 ms, though it was certain on arrival.
-    void lineIsNoLongerThanItsOwnThreadWorksOff()
+    void queueBoundMayFallBelowTheSlots()
     {
         Policy::DrainRate rate;
         SteadyTime now{Milliseconds(1000000)};
@@ -207,7 +207,7 @@
 
     // After an hour of five requests a second without waiters, a drain rate measured from those
     // requests would refuse the first requests of a burst though slots come free at once.
-    void calmHourSaysNothingOfWhatSlotsCanDo()
+    void drainRateIgnoresPeriodsWithoutWaiters()
     {
         Policy::DrainRate rate;
         SteadyTime now{Milliseconds(1000000)};
--- a/Tests/LibPolicy/TestHomes.cpp
+++ b/Tests/LibPolicy/TestHomes.cpp
@@ -122,7 +122,7 @@
 {
     CPPUNIT_TEST_SUITE(TestSpill);
     CPPUNIT_TEST(windowsDifferByLessThanTheCap);
-    CPPUNIT_TEST(aQuietEntrySpillsNothing);
+    CPPUNIT_TEST(idleEntrySpillsNothing);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -153,7 +153,7 @@
         });
     }
 
-    void aQuietEntrySpillsNothing()
+    void idleEntrySpillsNothing()
     {
         Policy::SpillMeter meter;
         const Model::SteadyTime now{std::chrono::seconds(5)};
--- a/Tests/LibPolicy/TestLearning.cpp
+++ b/Tests/LibPolicy/TestLearning.cpp
@@ -13,22 +13,22 @@
 class TestLearning : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLearning);
-    CPPUNIT_TEST(firstRequestForAnObjectSpeaksAgainstNoTarget);
-    CPPUNIT_TEST(othersObjectsAreBelievedAsAnswersShow);
-    CPPUNIT_TEST(objectsAreBelievedAsLongAsTargetsKeepThem);
-    CPPUNIT_TEST(oneSlowAnswerForgetsLittle);
-    CPPUNIT_TEST(loadsCostMoreInAFullService);
-    CPPUNIT_TEST(strayToATargetThatHasTheObjectCostsNoLoad);
-    CPPUNIT_TEST(othersLoadGoesBackToTheUsual);
+    CPPUNIT_TEST(coldLoadDoesNotMakeATargetLookSlow);
+    CPPUNIT_TEST(peerWarmthFollowsAnswerTimes);
+    CPPUNIT_TEST(retentionFollowsAnswers);
+    CPPUNIT_TEST(oneSlowAnswerShortensRetentionLittle);
+    CPPUNIT_TEST(coldLoadsCostMoreInAFullService);
+    CPPUNIT_TEST(offOwnerRequestToAWarmTargetCostsNoLoad);
+    CPPUNIT_TEST(peerLoadDecaysToTheAverage);
     CPPUNIT_TEST(onlyFreshReportsCountInAChoice);
-    CPPUNIT_TEST(sparesAreForTargetsInUse);
+    CPPUNIT_TEST(idleConnectionsAreForTargetsInUse);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // In the first seconds of a day every object is requested for the first time, and each answer
     // takes three times as long as a warm one. If targets were held to the warm time, owners would
     // look slow and their requests would go off-owner.
-    void firstRequestForAnObjectSpeaksAgainstNoTarget()
+    void coldLoadDoesNotMakeATargetLookSlow()
     {
         Candidate home;
         home.slots_ = 3;
@@ -45,10 +45,10 @@
     // Each region's callers request objects of their own. If an object's home for other callers
     // were always considered warm, requests would go to other regions' targets and take several
     // times as long as expected.
-    void othersObjectsAreBelievedAsAnswersShow()
+    void peerWarmthFollowsAnswerTimes()
     {
         Policy::WorkTimes times{192000, 640000};
-        double warmth = Policy::firstOthersWarmth;
+        double warmth = Policy::initialPeerWarmth;
         for (int i = 0; i < 40; ++i)
             Policy::learnWarmth(warmth, times, Milliseconds(700));
         CPPUNIT_ASSERT(warmth < 0.1);
@@ -59,7 +59,7 @@
 
     // Targets evict objects that were not requested for four seconds: they retain 25 objects and
     // load six new ones a second while a service is overloaded.
-    void objectsAreBelievedAsLongAsTargetsKeepThem()
+    void retentionFollowsAnswers()
     {
         Policy::ObjectMemory memory;
         for (int i = 0; i < 300; ++i) {
@@ -74,23 +74,23 @@
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(30000));
     }
 
-    void oneSlowAnswerForgetsLittle()
+    void oneSlowAnswerShortensRetentionLittle()
     {
         Policy::ObjectMemory memory;
         Policy::learnKept(memory, Milliseconds(300), false);
-        CPPUNIT_ASSERT(memory.kept_ >= Policy::longestKept * 8 / 10);
+        CPPUNIT_ASSERT(memory.kept_ >= Policy::maxRetention * 8 / 10);
     }
 
     // If a cold load cost the same in an idle service and in a full one, a service would stay at
     // three times its usual times after a burst: off-owner requests load their objects again, which
     // takes the slots of other requests.
-    void loadsCostMoreInAFullService()
+    void coldLoadsCostMoreInAFullService()
     {
         const auto load = work.cold_ - work.warm_;
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 0) == load);
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 0.5) == load);
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 0.75) == 3 * load);
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 1) == 4 * load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 0) == load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 0.5) == load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 0.75) == 3 * load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 1) == 4 * load);
         // Half a second of waiting justifies a cold load on another target only if slots are idle.
         Candidate home;
         home.isHome_ = true;
@@ -105,7 +105,7 @@
                              Policy::chooseAmong({home, other}, work, 0.75)->candidate_);
     }
 
-    void strayToATargetThatHasTheObjectCostsNoLoad()
+    void offOwnerRequestToAWarmTargetCostsNoLoad()
     {
         Candidate home;
         home.isHome_ = true;
@@ -121,7 +121,7 @@
 
     // If an old report counted for nothing, an entry that receives a target's report once a second
     // would consider the target idle in between.
-    void othersLoadGoesBackToTheUsual()
+    void peerLoadDecaysToTheAverage()
     {
         Policy::OthersLoad load;
         for (int i = 0; i < 20; ++i)
@@ -153,7 +153,7 @@
 
     // One entry calls a remote target every three seconds, and one of a large fleet calls it every
     // ten. A connection may stay idle for six seconds.
-    void sparesAreForTargetsInUse()
+    void idleConnectionsAreForTargetsInUse()
     {
         const Milliseconds life(6000);
         const auto worthwhile = [&](int gapMs, int requests, int restMs) {
--- a/Tests/LibPolicy/TestLoadNews.cpp
+++ b/Tests/LibPolicy/TestLoadUpdate.cpp
@@ -11,12 +11,12 @@
 constexpr Slots slots(6);
 const SteadyTime start{std::chrono::hours(1)};
 
-class TestLoadNews : public CppUnit::TestFixture
+class TestLoadUpdate : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestLoadNews);
-    CPPUNIT_TEST(latestWordCountsInWhateverOrderItComes);
-    CPPUNIT_TEST(oldWordSaysNothing);
-    CPPUNIT_TEST(onlyLastingFullnessMovesObjects);
+    CPPUNIT_TEST_SUITE(TestLoadUpdate);
+    CPPUNIT_TEST(latestReportWinsInAnyOrder);
+    CPPUNIT_TEST(expiredReportsAreIgnored);
+    CPPUNIT_TEST(onlyPersistentFullnessMovesObjects);
     CPPUNIT_TEST(silenceEndsFullness);
     CPPUNIT_TEST(messagesStaySmall);
     CPPUNIT_TEST_SUITE_END();
@@ -25,7 +25,7 @@
     // An earlier report arrives over a longer path after a later one. If the last report received
     // counted, a target that has become idle would be avoided, or a full one would get more
     // requests.
-    void latestWordCountsInWhateverOrderItComes()
+    void latestReportWinsInAnyOrder()
     {
         SharedLoad load;
         Policy::learnLoad(load, 2, slots, start + Milliseconds(200));
@@ -35,12 +35,12 @@
                                      1e-9);
     }
 
-    void oldWordSaysNothing()
+    void expiredReportsAreIgnored()
     {
         SharedLoad load;
         Policy::learnLoad(load, 9, slots, start);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::othersByNews(load, 0, start), 1e-9);
-        const auto later = start + Policy::loadNewsLife;
+        const auto later = start + Policy::loadReportLifetime;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::othersByNews(load, 0, later), 1e-9);
         CPPUNIT_ASSERT(!Policy::isLoadNews(load, slots, later));
         // A report below this instance's own requests at the target must not give a negative
@@ -50,7 +50,7 @@
 
     // A target is full for short moments. If each of them counted as an overloaded owner, objects
     // would be loaded a second time whenever a few requests coincide at their owner.
-    void onlyLastingFullnessMovesObjects()
+    void onlyPersistentFullnessMovesObjects()
     {
         SharedLoad load;
         for (int i = 0; i < 20; ++i) {
@@ -62,14 +62,14 @@
             Policy::learnLoad(load, 7, slots, start + Milliseconds(500 * i));
         const auto now = start + Milliseconds(500 * 29);
         CPPUNIT_ASSERT(Policy::isLastinglyFull(load, now));
-        CPPUNIT_ASSERT(!Policy::isLastinglyFull(load, now + Policy::loadNewsLife));
+        CPPUNIT_ASSERT(!Policy::isLastinglyFull(load, now + Policy::loadReportLifetime));
     }
 
     void silenceEndsFullness()
     {
         SharedLoad load;
         Policy::learnLoad(load, 7, slots, start);
-        const auto later = start + 2 * Policy::lastingFullness;
+        const auto later = start + 2 * Policy::persistentFullnessPeriod;
         Policy::learnLoad(load, 7, slots, later);
         CPPUNIT_ASSERT(!Policy::isLastinglyFull(load, later));
     }
@@ -80,12 +80,12 @@
         for (std::uint32_t i = 0; i < 1000; ++i)
             loads.push_back({i, 6, Milliseconds(1000 - i)});
         Policy::keepLatest(loads);
-        CPPUNIT_ASSERT_EQUAL(Policy::mostLoadsTold, loads.size());
+        CPPUNIT_ASSERT_EQUAL(Policy::maxLoadsPerMessage, loads.size());
         for (const auto &load : loads)
-            CPPUNIT_ASSERT(load.age_ <= Milliseconds(static_cast<int>(Policy::mostLoadsTold)));
+            CPPUNIT_ASSERT(load.age_ <= Milliseconds(static_cast<int>(Policy::maxLoadsPerMessage)));
     }
 };
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestLoadNews);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestLoadUpdate);
--- a/Tests/LibPolicy/TestPlacement.cpp
+++ b/Tests/LibPolicy/TestPlacement.cpp
@@ -11,22 +11,22 @@
 {
     CPPUNIT_TEST_SUITE(TestPlacement);
     CPPUNIT_TEST(countsFollowTheSharesInEveryWindow);
-    CPPUNIT_TEST(deadDomainsPartIsRefusedNotMoved);
-    CPPUNIT_TEST(fullDomainsLendOnlyAFewRequests);
+    CPPUNIT_TEST(failedDomainsShareIsRefusedNotMoved);
+    CPPUNIT_TEST(fullDomainsShiftOnlyAFewRequests);
     CPPUNIT_TEST(fullTargetsAreNeverChosen);
-    CPPUNIT_TEST(oldReportsAreNotBelieved);
-    CPPUNIT_TEST(reportsFadeWithinALatency);
-    CPPUNIT_TEST(coldTargetsGetLittleAtFirst);
+    CPPUNIT_TEST(localCountOverridesOldReports);
+    CPPUNIT_TEST(reportsDecayWithinALatency);
+    CPPUNIT_TEST(slowStartLimitsColdTargets);
     CPPUNIT_TEST(bulkLeavesSlotsForOthers);
-    CPPUNIT_TEST(peersWordCountsBeforeOldReports);
+    CPPUNIT_TEST(peerReportsOverrideOldTargetReports);
     CPPUNIT_TEST(entriesTogetherFillNoMoreThanTheRoom);
     CPPUNIT_TEST(entriesTogetherLeaveNoRoomForLong);
     CPPUNIT_TEST(poolsOfAllEntriesStayBelowTheTargetsConnections);
-    CPPUNIT_TEST(entriesOfTheOwnRegionComeFirstAndLeavingOnesNever);
-    CPPUNIT_TEST(leavingEntriesAreNamedWhereTheRegionHasNoOthers);
-    CPPUNIT_TEST(lastPlaceNamesAnEntryOfAnotherRegion);
-    CPPUNIT_TEST(losingAnEntryMovesOnlyItsOwnCallers);
-    CPPUNIT_TEST(lostEntriesAreTriedOnceInEachPause);
+    CPPUNIT_TEST(localEntriesRankFirstAndLeavingOnesAreExcluded);
+    CPPUNIT_TEST(leavingEntriesAreReturnedIfTheRegionHasNoOthers);
+    CPPUNIT_TEST(lastRankedEntryIsInAnotherRegion);
+    CPPUNIT_TEST(losingAnEntryMovesOnlyItsCallers);
+    CPPUNIT_TEST(lostEntriesAreTriedOncePerRetryInterval);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -53,7 +53,7 @@
     // The targets of half of the traffic fail while requests continue. If the share of a failed
     // domain were sent elsewhere without regard to the cap, its traffic would reach the other
     // domains within a second.
-    void deadDomainsPartIsRefusedNotMoved()
+    void failedDomainsShareIsRefusedNotMoved()
     {
         const Policy::ShareVector shares{{0.5, 0.5}};
         const std::vector<Policy::DomainView> views = {{false, false, true}, {true, true, true}};
@@ -67,7 +67,7 @@
         CPPUNIT_ASSERT_EQUAL(50, limited);
     }
 
-    void fullDomainsLendOnlyAFewRequests()
+    void fullDomainsShiftOnlyAFewRequests()
     {
         const Policy::ShareVector shares{{0.5, 0.5}};
         const std::vector<Policy::DomainView> views = {{true, false, true}, {true, true, true}};
@@ -104,10 +104,10 @@
         });
     }
 
-    // The last report had no requests in progress, and this entry has filled the slots since. If
+    // The last report was "nothing in progress", and this entry has filled the slots since. If
     // the report took precedence over this entry's own count or never expired, a target that
     // stopped reporting would look idle and be flooded.
-    void oldReportsAreNotBelieved()
+    void localCountOverridesOldReports()
     {
         Policy::TargetView target;
         target.slots_ = 4;
@@ -121,7 +121,7 @@
     // A target is reported full of others' requests, which finish without a further report to this
     // entry. If a report counted until the next one, requests would wait for half a second although
     // slots are free.
-    void reportsFadeWithinALatency()
+    void reportsDecayWithinALatency()
     {
         Policy::TargetView target;
         target.slots_ = 4;
@@ -137,7 +137,7 @@
         CPPUNIT_ASSERT_EQUAL(std::int64_t(0), Policy::likelyInFlight(target));
     }
 
-    void coldTargetsGetLittleAtFirst()
+    void slowStartLimitsColdTargets()
     {
         Policy::TargetView target;
         target.slots_ = 8;
@@ -157,7 +157,7 @@
     // Four entries each receive a target's report with every fourth answer. If these old reports
     // took precedence over the entries' own counts, a small caller would wait although slots are
     // free, or be sent to targets that refuse it.
-    void peersWordCountsBeforeOldReports()
+    void peerReportsOverrideOldTargetReports()
     {
         Policy::TargetView target;
         target.slots_ = 6;
@@ -250,7 +250,7 @@
             });
     }
 
-    void entriesOfTheOwnRegionComeFirstAndLeavingOnesNever()
+    void localEntriesRankFirstAndLeavingOnesAreExcluded()
     {
         std::vector<Policy::EntryCandidate> candidates;
         for (int i = 0; i < 6; ++i) {
@@ -272,7 +272,7 @@
     // During a replacement the last old entries leave while the new ones start. If a look-up that
     // knows only leaving entries of the region returned none of them, the region's callers would be
     // sent to remote entries and refused there.
-    void leavingEntriesAreNamedWhereTheRegionHasNoOthers()
+    void leavingEntriesAreReturnedIfTheRegionHasNoOthers()
     {
         std::vector<Policy::EntryCandidate> candidates(2);
         candidates[0].instance_.id_ = Model::InstanceId("leaving");
@@ -289,7 +289,7 @@
     // All entries of a region are killed; look-ups in other regions still rely on the region's last
     // summary and return its entries, which refuse connections. If a look-up returned entries of
     // one region only, the region's callers would get no answer at all for seconds.
-    void lastPlaceNamesAnEntryOfAnotherRegion()
+    void lastRankedEntryIsInAnotherRegion()
     {
         std::vector<Policy::EntryCandidate> candidates;
         for (int i = 0; i < 8; ++i) {
@@ -309,7 +309,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("near"), only.front().region_.value());
     }
 
-    void losingAnEntryMovesOnlyItsOwnCallers()
+    void losingAnEntryMovesOnlyItsCallers()
     {
         std::vector<Policy::EntryCandidate> candidates(5);
         for (int i = 0; i < 5; ++i) {
@@ -329,7 +329,7 @@
     // The entries of a region fail; until its last summary expires, requests are forwarded to them,
     // and sent bytes may have arrived. If the choice ignored which entries were lost recently, all
     // requests for the region would end as unknown.
-    void lostEntriesAreTriedOnceInEachPause()
+    void lostEntriesAreTriedOncePerRetryInterval()
     {
         std::vector<Model::Instance> entries(2);
         entries[0].addresses_.entryPeer_ = {"192.0.2.1", 1};
--- a/Tests/LibPolicy/TestTargetChoice.cpp
+++ b/Tests/LibPolicy/TestTargetChoice.cpp
@@ -26,15 +26,15 @@
 {
     CPPUNIT_TEST_SUITE(TestTargetChoice);
     CPPUNIT_TEST(ownerIsKeptWhileItsWaitIsShort);
-    CPPUNIT_TEST(longWaitGoesToWhoKnowsTheObject);
-    CPPUNIT_TEST(slowTargetIsPassedOverAndComesBack);
+    CPPUNIT_TEST(longWaitMovesRequestToAWarmTarget);
+    CPPUNIT_TEST(slowTargetIsAvoidedUntilItRecovers);
     CPPUNIT_TEST(oneSlowAnswerIsForgiven);
     CPPUNIT_TEST(workTimesSeparateWarmFromCold);
     CPPUNIT_TEST(urgentRequestsAreTakenLonger);
-    CPPUNIT_TEST(whatWouldBeLateIsRefused);
-    CPPUNIT_TEST(returnsOfRefusedCallersAreSpread);
-    CPPUNIT_TEST(partsFollowTheWeights);
-    CPPUNIT_TEST(coldTargetsBearTheLimitInAnySecond);
+    CPPUNIT_TEST(lateRequestsAreRefused);
+    CPPUNIT_TEST(retriesOfRefusedCallersAreSpread);
+    CPPUNIT_TEST(splitsFollowTheWeights);
+    CPPUNIT_TEST(slowStartLimitHoldsInAnySecond);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -48,7 +48,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), choice->candidate_);
     }
 
-    void longWaitGoesToWhoKnowsTheObject()
+    void longWaitMovesRequestToAWarmTarget()
     {
         const auto choice = Policy::chooseAmong({candidate(true, true, 24, Milliseconds(0)),
                                                  candidate(false, false, 0, Milliseconds(0)),
@@ -61,7 +61,7 @@
     // A target's answers become slow, and later normal again. If only the number of requests in
     // progress counted, a target that takes five times as long as others would keep its whole
     // share.
-    void slowTargetIsPassedOverAndComesBack()
+    void slowTargetIsAvoidedUntilItRecovers()
     {
         Policy::TargetPace pace;
         for (int i = 0; i < 4; ++i)
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT(judge(2) == Policy::AdmissionVerdict::NoRoom);
     }
 
-    void whatWouldBeLateIsRefused()
+    void lateRequestsAreRefused()
     {
         const Policy::AdmissionCase request{Milliseconds(900), Milliseconds(800), Milliseconds(300),
                                             0};
@@ -115,7 +115,7 @@
                        == Policy::AdmissionVerdict::TooLate);
     }
 
-    void returnsOfRefusedCallersAreSpread()
+    void retriesOfRefusedCallersAreSpread()
     {
         const auto early = Policy::returnAfter(Milliseconds(900), Milliseconds(300), 0);
         const auto late = Policy::returnAfter(Milliseconds(900), Milliseconds(300), 0.99);
@@ -124,7 +124,7 @@
                        > Milliseconds(0));
     }
 
-    void partsFollowTheWeights()
+    void splitsFollowTheWeights()
     {
         Support::assertProperty("any window is within a request of the weights", [] {
             std::vector<Model::RoutePart> parts;
@@ -147,7 +147,7 @@
     // All entries detect at the same moment that a target has returned with empty caches, and send
     // it its share. If each entry applied the whole limit, or all spent saved tokens at once, the
     // target would crash again within a second.
-    void coldTargetsBearTheLimitInAnySecond()
+    void slowStartLimitHoldsInAnySecond()
     {
         Support::assertProperty("all entries together keep the limit in any second", [] {
             const Model::RequestsPerSecond limit(11);
@@ -175,12 +175,12 @@
 class TestLiveness : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLiveness);
-    CPPUNIT_TEST(silentInstancesAreNotNamed);
-    CPPUNIT_TEST(restartedInstanceCountsAtOnce);
-    CPPUNIT_TEST(runThatBeganBeforeTheClockWentBackIsReplaced);
-    CPPUNIT_TEST(oldWordOfAnEarlierRunIsIgnored);
-    CPPUNIT_TEST(limitsStayDividedByThoseWhoMayStillRun);
-    CPPUNIT_TEST(onlyTheNearestGroupIsNamed);
+    CPPUNIT_TEST(silentInstancesAreNotAlive);
+    CPPUNIT_TEST(restartedInstanceIsAcceptedAtOnce);
+    CPPUNIT_TEST(lowerIncarnationAfterAClockStepIsAccepted);
+    CPPUNIT_TEST(reportsOfAnEarlierIncarnationAreIgnored);
+    CPPUNIT_TEST(limitsStayDividedBySilentInstances);
+    CPPUNIT_TEST(onlyTheNearestGroupIsReturned);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -200,7 +200,7 @@
     // An instance loses power and its heartbeat stops, while peers keep exchanging the last one. If
     // a repeated heartbeat counted as a sign of life, callers would be sent to the instance for
     // seconds.
-    void silentInstancesAreNotNamed()
+    void silentInstancesAreNotAlive()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 1, 7), start);
@@ -213,7 +213,7 @@
 
     // A restarted instance counts its heartbeats from one again. If heartbeats of two incarnations
     // were compared, it would get no callers for as long as its earlier incarnation lasted.
-    void restartedInstanceCountsAtOnce()
+    void restartedInstanceIsAcceptedAtOnce()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 1, 700), start);
@@ -224,7 +224,7 @@
     // The clock of an instance's host steps back by two seconds, then its process is restarted. If
     // the lower incarnation counted as an earlier one for ever, the instance would get no callers
     // for ten minutes.
-    void runThatBeganBeforeTheClockWentBackIsReplaced()
+    void lowerIncarnationAfterAClockStepIsAccepted()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 9, 700), start);
@@ -236,14 +236,14 @@
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 8, 701), start));
     }
 
-    void oldWordOfAnEarlierRunIsIgnored()
+    void reportsOfAnEarlierIncarnationAreIgnored()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 2, 1), start);
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 1, 900), start));
     }
 
-    void limitsStayDividedByThoseWhoMayStillRun()
+    void limitsStayDividedBySilentInstances()
     {
         Policy::Members members;
         for (const char *id : {"a", "b", "c"})
@@ -257,7 +257,7 @@
                              Policy::entriesIn(members, Model::RegionId("none"), later));
     }
 
-    void onlyTheNearestGroupIsNamed()
+    void onlyTheNearestGroupIsReturned()
     {
         std::vector<Policy::EntryCandidate> candidates;
         for (const char *region : {"r", "r", "s"})
--- a/Tests/LibPolicy/TestTruth.cpp
+++ b/Tests/LibPolicy/TestTruth.cpp
@@ -10,17 +10,17 @@
 class TestTruth : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestTruth);
-    CPPUNIT_TEST(notRunIsSaidOnlyWhereItIsCertain);
+    CPPUNIT_TEST(notRunIsReportedOnlyIfCertain);
     CPPUNIT_TEST(onlyTheHolderOfAClaimRunsIt);
-    CPPUNIT_TEST(claimsComeBackAsTheyWere);
-    CPPUNIT_TEST(versionsNeverGoBack);
+    CPPUNIT_TEST(claimsSurviveSerialization);
+    CPPUNIT_TEST(versionsNeverDecrease);
     CPPUNIT_TEST(leavingMarksStayForTheirIncarnation);
-    CPPUNIT_TEST(freshInstanceWaitsForEnoughKnowledge);
+    CPPUNIT_TEST(newInstanceServesOnlyWithEnoughState);
     CPPUNIT_TEST(pollsOfTheFleetAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void notRunIsSaidOnlyWhereItIsCertain()
+    void notRunIsReportedOnlyIfCertain()
     {
         using Policy::AttemptStage;
         using Policy::Outcome;
@@ -69,7 +69,7 @@
         CPPUNIT_ASSERT(Policy::judgeClaim(other, "me", 2) == ClaimVerdict::OtherRequest);
     }
 
-    void claimsComeBackAsTheyWere()
+    void claimsSurviveSerialization()
     {
         Claim claim;
         claim.state_ = ClaimState::Run;
@@ -83,7 +83,7 @@
         CPPUNIT_ASSERT(!Policy::claimFromText("nonsense"));
     }
 
-    void versionsNeverGoBack()
+    void versionsNeverDecrease()
     {
         Support::assertProperty("whatever is offered, the version held only grows", [] {
             Model::TableVersion held(0);
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT(!Policy::isLeaving(marks, target, Model::Incarnation(6)));
     }
 
-    void freshInstanceWaitsForEnoughKnowledge()
+    void newInstanceServesOnlyWithEnoughState()
     {
         Policy::StartKnowledge knowledge;
         CPPUNIT_ASSERT(!Policy::mayServe(knowledge));
