--- a/Tests/LibPolicy/TestTruth.cpp
+++ b/Tests/LibPolicy/TestConsistency.cpp
@@ -7,9 +7,9 @@
 using Policy::ClaimState;
 using Policy::ClaimVerdict;
 
-class TestTruth : public CppUnit::TestFixture
+class TestConsistency : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestTruth);
+    CPPUNIT_TEST_SUITE(TestConsistency);
     CPPUNIT_TEST(notRunIsReportedOnlyIfCertain);
     CPPUNIT_TEST(onlyTheHolderOfAClaimRunsIt);
     CPPUNIT_TEST(claimsSurviveSerialization);
@@ -85,7 +85,7 @@
 
     void versionsNeverDecrease()
     {
-        Support::assertProperty("whatever is offered, the version held only grows", [] {
+        Support::assertProperty("for any versions offered, the version held never decreases", [] {
             Model::TableVersion held(0);
             for (const auto offered : *rc::gen::arbitrary<std::vector<std::uint16_t>>()) {
                 const Model::TableVersion before = held;
@@ -127,7 +127,7 @@
         knowledge.peersHadTheirSay_ = true;
         CPPUNIT_ASSERT(Policy::mayServe(knowledge));
         knowledge.peerVersions_[Model::FailureDomainId("a")] = Model::TableVersion(3);
-        CPPUNIT_ASSERT_MESSAGE("a peer knows a newer one", !Policy::mayServe(knowledge));
+        CPPUNIT_ASSERT_MESSAGE("a peer has a newer one", !Policy::mayServe(knowledge));
     }
 
     void pollsOfTheFleetAreBounded()
@@ -142,4 +142,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestTruth);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestConsistency);
--- a/Tests/LibPolicy/TestPlacement.cpp
+++ b/Tests/LibPolicy/TestPlacement.cpp
@@ -184,35 +184,36 @@
     // slots.
     void entriesTogetherFillNoMoreThanTheRoom()
     {
-        Support::assertProperty("bulk of all entries passes its limit by one for each at most", [] {
-            const int entries = *rc::gen::inRange(1, 13);
-            std::vector<std::int64_t> inFlight;
-            std::int64_t used = 0;
-            for (int i = 0; i < entries; ++i) {
-                inFlight.push_back(*rc::gen::inRange(0, 20));
-                used += inFlight.back();
-            }
-            const std::int64_t slots = *rc::gen::inRange(1, 200);
-            const double limit = *rc::gen::inRange(1, 100) / 100.0;
-            const auto most = static_cast<std::int64_t>(double(slots) * limit + 1e-6);
-            std::int64_t after = 0;
-            for (const std::int64_t own : inFlight) {
-                const double dither = *rc::gen::inRange(0, 100) / 100.0;
-                const Policy::PoolNotes notes{slots, own, used - own, entries, dither};
-                std::int64_t now = own;
-                while (Policy::mayFillShared(notes, now, limit))
-                    ++now;
-                after += now;
-            }
-            RC_ASSERT(after <= std::max(used, most + entries));
-        });
+        Support::assertProperty(
+            "bulk of all entries exceeds its limit by at most one per entry", [] {
+                const int entries = *rc::gen::inRange(1, 13);
+                std::vector<std::int64_t> inFlight;
+                std::int64_t used = 0;
+                for (int i = 0; i < entries; ++i) {
+                    inFlight.push_back(*rc::gen::inRange(0, 20));
+                    used += inFlight.back();
+                }
+                const std::int64_t slots = *rc::gen::inRange(1, 200);
+                const double limit = *rc::gen::inRange(1, 100) / 100.0;
+                const auto most = static_cast<std::int64_t>(double(slots) * limit + 1e-6);
+                std::int64_t after = 0;
+                for (const std::int64_t own : inFlight) {
+                    const double dither = *rc::gen::inRange(0, 100) / 100.0;
+                    const Policy::PoolNotes notes{slots, own, used - own, entries, dither};
+                    std::int64_t now = own;
+                    while (Policy::mayFillShared(notes, now, limit))
+                        ++now;
+                    after += now;
+                }
+                RC_ASSERT(after <= std::max(used, most + entries));
+            });
     }
 
     // If each entry's part of a room smaller than the number of entries were rounded down to zero,
     // bulk would stay far below what it may use.
     void entriesTogetherLeaveNoRoomForLong()
     {
-        Support::assertProperty("a room of any size is filled within a second of notes", [] {
+        Support::assertProperty("a room of any size is filled within a second of exchanges", [] {
             const int entries = *rc::gen::inRange(1, 13);
             const std::int64_t slots = 100;
             std::vector<std::int64_t> inFlight(static_cast<std::size_t>(entries), 0);
