--- a/Libraries/LibPolicy/FairQueue.cpp
+++ b/Libraries/LibPolicy/FairQueue.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-/// Removes the caller's entry once nothing of it waits, so that the map holds active callers only.
-/// The caller's virtual time is not lost: on return it starts at the class's clock, never earlier.
+/// Removes a caller without waiting requests, so that the map holds active callers only. The caller
+/// gains nothing by this: when it returns, its virtual time starts at the class's clock.
 void dropIfEmpty(ClassQueue &classQueue, const Model::CallerId &caller)
 {
     const auto found = classQueue.callers_.find(caller);
@@ -56,12 +56,12 @@
     ++queue.size_;
 }
 
-std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double leastUseLimit)
+std::optional<NextWaiter> nextWaiter(const FairQueue &queue, double minUseLimit)
 {
     const ClassQueue *bestClass = nullptr;
     NextWaiter next;
     for (const auto &[id, classQueue] : queue.classes_) {
-        if (classQueue.size_ == 0 || classQueue.useLimit_ < leastUseLimit)
+        if (classQueue.size_ == 0 || classQueue.useLimit_ < minUseLimit)
             continue;
         if (bestClass && classQueue.virtualTime_ >= bestClass->virtualTime_)
             continue;
--- a/Libraries/LibPolicy/Outcome.cpp
+++ b/Libraries/LibPolicy/Outcome.cpp
@@ -38,7 +38,7 @@
 
 bool holdRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts)
 {
-    if (!isIdempotent || attempts >= mostAttempts || budget.credit_ < 1)
+    if (!isIdempotent || attempts >= maxAttemptsPerRequest || budget.credit_ < 1)
         return false;
     budget.credit_ -= 1;
     return true;
@@ -46,7 +46,7 @@
 
 void giveBackRetryCredit(RetryBudget &budget)
 {
-    // Not bounded: it is spent before anything else can be earned or held.
+    // No upper bound: the credit is spent before any other is earned or reserved.
     budget.credit_ += 1;
 }
 
--- a/Tests/LibPolicy/TestTruth.cpp
+++ b/Tests/LibPolicy/TestConsistency.cpp
@@ -7,20 +7,20 @@
 using Policy::ClaimState;
 using Policy::ClaimVerdict;
 
-class TestTruth : public CppUnit::TestFixture
+class TestConsistency : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestTruth);
-    CPPUNIT_TEST(notRunIsSaidOnlyWhereItIsCertain);
+    CPPUNIT_TEST_SUITE(TestConsistency);
+    CPPUNIT_TEST(notRunIsReportedOnlyIfCertain);
     CPPUNIT_TEST(onlyTheHolderOfAClaimRunsIt);
-    CPPUNIT_TEST(claimsComeBackAsTheyWere);
-    CPPUNIT_TEST(versionsNeverGoBack);
+    CPPUNIT_TEST(claimsSurviveSerialization);
+    CPPUNIT_TEST(versionsNeverDecrease);
     CPPUNIT_TEST(leavingMarksStayForTheirIncarnation);
-    CPPUNIT_TEST(freshInstanceWaitsForEnoughKnowledge);
+    CPPUNIT_TEST(newInstanceServesOnlyWithEnoughState);
     CPPUNIT_TEST(pollsOfTheFleetAreBounded);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void notRunIsSaidOnlyWhereItIsCertain()
+    void notRunIsReportedOnlyIfCertain()
     {
         using Policy::AttemptStage;
         using Policy::Outcome;
@@ -30,9 +30,8 @@
         CPPUNIT_ASSERT(Policy::outcomeOf(AttemptStage::Answered) == Outcome::Run);
     }
 
-    // Symptom: a release order runs twice.
-    // Sequence: attempts of one key through any entries, in any order; some finish, some never do.
-    // Cause: an attempt that runs without holding the claim.
+    // Attempts with one key go through any entries, in any order; some finish, some never do. If an
+    // attempt ran without holding the claim, a release order would run twice.
     void onlyTheHolderOfAClaimRunsIt()
     {
         Support::assertProperty("at most one attempt runs between two certain 'not run'", [] {
@@ -58,7 +57,7 @@
                     ++runs;
                     break;
                 default:
-                    // It may have run; nobody knows.
+                    // The request may have run; the outcome is unknown.
                     ++runs;
                     break;
                 }
@@ -70,7 +69,7 @@
         CPPUNIT_ASSERT(Policy::judgeClaim(other, "me", 2) == ClaimVerdict::OtherRequest);
     }
 
-    void claimsComeBackAsTheyWere()
+    void claimsSurviveSerialization()
     {
         Claim claim;
         claim.state_ = ClaimState::Run;
@@ -84,9 +83,9 @@
         CPPUNIT_ASSERT(!Policy::claimFromText("nonsense"));
     }
 
-    void versionsNeverGoBack()
+    void versionsNeverDecrease()
     {
-        Support::assertProperty("whatever is offered, the version held only grows", [] {
+        Support::assertProperty("for any versions offered, the version held never decreases", [] {
             Model::TableVersion held(0);
             for (const auto offered : *rc::gen::arbitrary<std::vector<std::uint16_t>>()) {
                 const Model::TableVersion before = held;
@@ -108,7 +107,7 @@
         CPPUNIT_ASSERT(!Policy::isLeaving(marks, target, Model::Incarnation(6)));
     }
 
-    void freshInstanceWaitsForEnoughKnowledge()
+    void newInstanceServesOnlyWithEnoughState()
     {
         Policy::StartKnowledge knowledge;
         CPPUNIT_ASSERT(!Policy::mayServe(knowledge));
@@ -128,7 +127,7 @@
         knowledge.peersHadTheirSay_ = true;
         CPPUNIT_ASSERT(Policy::mayServe(knowledge));
         knowledge.peerVersions_[Model::FailureDomainId("a")] = Model::TableVersion(3);
-        CPPUNIT_ASSERT_MESSAGE("a peer knows a newer one", !Policy::mayServe(knowledge));
+        CPPUNIT_ASSERT_MESSAGE("a peer has a newer one", !Policy::mayServe(knowledge));
     }
 
     void pollsOfTheFleetAreBounded()
@@ -143,4 +142,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestTruth);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestConsistency);
--- a/Tests/LibPolicy/TestFairness.cpp
+++ b/Tests/LibPolicy/TestFairness.cpp
@@ -19,23 +19,22 @@
 class TestFairness : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestFairness);
-    CPPUNIT_TEST(smallCallerGoesBeforeALongLine);
+    CPPUNIT_TEST(smallCallerIsServedBeforeALongBacklog);
     CPPUNIT_TEST(classesShareByWeight);
     CPPUNIT_TEST(nothingIsLostOrServedTwice);
     CPPUNIT_TEST(fullQueueDisplacesTheLargestCallerOnly);
     CPPUNIT_TEST(expiredRequestsLeaveTheQueue);
-    CPPUNIT_TEST(limitsOfAllHoldersTogetherKeepTheWholeLimit);
+    CPPUNIT_TEST(dividedLimitsStayWithinTheWholeLimit);
     CPPUNIT_TEST(retriesStayWithinTheBudget);
-    CPPUNIT_TEST(queueHoldsWhatItCanWorkOff);
-    CPPUNIT_TEST(lineIsNoLongerThanItsOwnThreadWorksOff);
-    CPPUNIT_TEST(calmHourSaysNothingOfWhatSlotsCanDo);
+    CPPUNIT_TEST(queueBoundFollowsTheDrainRate);
+    CPPUNIT_TEST(queueBoundMayFallBelowTheSlots);
+    CPPUNIT_TEST(drainRateIgnoresPeriodsWithoutWaiters);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a pilot's single enquiry waits behind hundreds of a partner's.
-    // Sequence: a bulk caller fills the queue; then one small request arrives.
-    // Cause: one common line in order of arrival.
-    void smallCallerGoesBeforeALongLine()
+    // In a single FIFO queue, a small caller's only request would wait behind hundreds of requests
+    // of a bulk caller that filled the queue before.
+    void smallCallerIsServedBeforeALongBacklog()
     {
         Policy::FairQueue queue;
         const auto bulk = callerClass("bulk", 10);
@@ -92,12 +91,12 @@
                         RC_ASSERT(inside.erase(next->waiter_.id_) == 1);
                     }
                 } else {
-                    const auto gone
+                    const auto removed
                         = *rc::gen::inRange(0, 2)
                               ? Policy::displaceFor(queue, which, caller)
                               : Policy::takeExpired(queue, SteadyTime(Milliseconds(50)));
-                    if (gone)
-                        RC_ASSERT(inside.erase(*gone) == 1);
+                    if (removed)
+                        RC_ASSERT(inside.erase(*removed) == 1);
                 }
                 RC_ASSERT(queue.size_ == inside.size());
                 RC_ASSERT(Policy::nextWaiter(queue).has_value() == !inside.empty());
@@ -127,7 +126,7 @@
         CPPUNIT_ASSERT(!Policy::takeExpired(queue, SteadyTime(Milliseconds(50))));
     }
 
-    void limitsOfAllHoldersTogetherKeepTheWholeLimit()
+    void dividedLimitsStayWithinTheWholeLimit()
     {
         Support::assertProperty("the sum over holders never passes the limit in a second", [] {
             const auto holders = static_cast<std::size_t>(*rc::gen::inRange(1, 20));
@@ -142,7 +141,7 @@
                     taken += Policy::takeToken(bucket, part, now) ? 1 : 0;
                 }
             }
-            // Each holder may have saved a tenth of a second's worth, or one request.
+            // Each holder may have saved the tokens of a tenth of a second, or one.
             const double saved = std::max(1.0, part.value() * 0.1) * static_cast<double>(holders);
             RC_ASSERT(taken <= limit.value() + saved + 1e-6);
         });
@@ -163,10 +162,10 @@
         CPPUNIT_ASSERT(!Policy::mayRetry(budget, Policy::Outcome::NotRun, true, 2));
         CPPUNIT_ASSERT(Policy::mayRetry(budget, Policy::Outcome::NotRun, false, 1));
 
-        // Credit that was set aside for a request is there when the request needs it.
+        // Credit reserved for a request is available when the request needs it.
         Policy::RetryBudget small{1};
         CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, false, 1));
-        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, Policy::mostAttempts));
+        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, Policy::maxAttemptsPerRequest));
         CPPUNIT_ASSERT(Policy::holdRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::mayRetry(small, Policy::Outcome::NotRun, true, 1));
@@ -174,7 +173,7 @@
         CPPUNIT_ASSERT(Policy::mayRetry(small, Policy::Outcome::Unknown, true, 1));
     }
 
-    void queueHoldsWhatItCanWorkOff()
+    void queueBoundFollowsTheDrainRate()
     {
         Policy::DrainRate rate;
         CPPUNIT_ASSERT_EQUAL(std::size_t(12),
@@ -189,11 +188,11 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(bound), bound >= 165 && bound <= 180);
     }
 
-    // Symptom: under five times the load that the slots carry, nearly every refusal comes only
-    //   after the longest wait of 200 ms, though it was certain on arrival.
-    // Sequence: eight threads of four entries share sixty slots, so each works off 75 a second.
-    // Cause: a bound of sixty for each of them, a line of 0.8 s, because the slots were its least.
-    void lineIsNoLongerThanItsOwnThreadWorksOff()
+    // Eight threads of four entries share sixty slots, so each thread serves 75 requests a second.
+    // If the slots were the lower bound of the queue, each thread would queue sixty requests, or
+    // 0.8 s of work. Under five times the load that the slots carry, nearly every refusal would
+    // then come only after the longest wait of 200 ms, though it was certain on arrival.
+    void queueBoundMayFallBelowTheSlots()
     {
         Policy::DrainRate rate;
         SteadyTime now{Milliseconds(1000000)};
@@ -206,10 +205,9 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(bound), bound >= 5 && bound <= 9);
     }
 
-    // Symptom: the first requests of a burst are refused though slots come free at once.
-    // Sequence: an hour of five requests a second, nobody waiting; then a burst.
-    // Cause: taking the rate of a calm hour for what the slots can do.
-    void calmHourSaysNothingOfWhatSlotsCanDo()
+    // After an hour of five requests a second without waiters, a drain rate measured from those
+    // requests would refuse the first requests of a burst though slots come free at once.
+    void drainRateIgnoresPeriodsWithoutWaiters()
     {
         Policy::DrainRate rate;
         SteadyTime now{Milliseconds(1000000)};
--- a/Tests/LibPolicy/TestLearning.cpp
+++ b/Tests/LibPolicy/TestLearning.cpp
@@ -13,22 +13,22 @@
 class TestLearning : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLearning);
-    CPPUNIT_TEST(firstRequestForAnObjectSpeaksAgainstNoTarget);
-    CPPUNIT_TEST(othersObjectsAreBelievedAsAnswersShow);
-    CPPUNIT_TEST(objectsAreBelievedAsLongAsTargetsKeepThem);
-    CPPUNIT_TEST(oneSlowAnswerForgetsLittle);
-    CPPUNIT_TEST(loadsCostMoreInAFullService);
-    CPPUNIT_TEST(strayToATargetThatHasTheObjectCostsNoLoad);
-    CPPUNIT_TEST(othersLoadGoesBackToTheUsual);
+    CPPUNIT_TEST(coldLoadDoesNotMakeATargetLookSlow);
+    CPPUNIT_TEST(peerWarmthFollowsAnswerTimes);
+    CPPUNIT_TEST(retentionFollowsAnswers);
+    CPPUNIT_TEST(oneSlowAnswerShortensRetentionLittle);
+    CPPUNIT_TEST(coldLoadsCostMoreInAFullService);
+    CPPUNIT_TEST(offOwnerRequestToAWarmTargetCostsNoLoad);
+    CPPUNIT_TEST(peerLoadDecaysToTheAverage);
     CPPUNIT_TEST(onlyFreshReportsCountInAChoice);
-    CPPUNIT_TEST(sparesAreForTargetsInUse);
+    CPPUNIT_TEST(idleConnectionsAreForTargetsInUse);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: in the first seconds of a day owners look slow, and requests stray from all of them.
-    // Sequence: every object is asked for the first time, and each answer takes three times as long
-    // as a warm one. Cause: holding targets to the time of warm work.
-    void firstRequestForAnObjectSpeaksAgainstNoTarget()
+    // In the first seconds of a day every object is requested for the first time, and each answer
+    // takes three times as long as a warm one. If targets were held to the warm time, owners would
+    // look slow and their requests would go off-owner.
+    void coldLoadDoesNotMakeATargetLookSlow()
     {
         Candidate home;
         home.slots_ = 3;
@@ -42,13 +42,13 @@
         CPPUNIT_ASSERT(Policy::latestUsualTime(home, work) == work.warm_);
     }
 
-    // Symptom: requests go to other regions' targets, said to be warm, and take several times
-    // as long as was expected. Sequence: each region's callers ask for objects of their
-    // own. Cause: taking the home of an object for other callers for a place that has it.
-    void othersObjectsAreBelievedAsAnswersShow()
+    // Each region's callers request objects of their own. If an object's home for other callers
+    // were always considered warm, requests would go to other regions' targets and take several
+    // times as long as expected.
+    void peerWarmthFollowsAnswerTimes()
     {
         Policy::WorkTimes times{192000, 640000};
-        double warmth = Policy::firstOthersWarmth;
+        double warmth = Policy::initialPeerWarmth;
         for (int i = 0; i < 40; ++i)
             Policy::learnWarmth(warmth, times, Milliseconds(700));
         CPPUNIT_ASSERT(warmth < 0.1);
@@ -57,9 +57,9 @@
         CPPUNIT_ASSERT(warmth > 0.9);
     }
 
-    // Pattern: targets that forget what nobody asked for in four seconds. Grounds: 25 objects kept,
-    // six new ones a second while a service is overrun.
-    void objectsAreBelievedAsLongAsTargetsKeepThem()
+    // Targets evict objects that were not requested for four seconds: they retain 25 objects and
+    // load six new ones a second while a service is overloaded.
+    void retentionFollowsAnswers()
     {
         Policy::ObjectMemory memory;
         for (int i = 0; i < 300; ++i) {
@@ -68,30 +68,30 @@
         }
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(3000));
         CPPUNIT_ASSERT(memory.kept_ < Milliseconds(6000));
-        // The cause is gone, and objects are kept for long again.
+        // The overload has ended, and objects are retained for long again.
         for (int i = 0; i < 200; ++i)
             Policy::learnKept(memory, Milliseconds(200 * i), true);
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(30000));
     }
 
-    void oneSlowAnswerForgetsLittle()
+    void oneSlowAnswerShortensRetentionLittle()
     {
         Policy::ObjectMemory memory;
         Policy::learnKept(memory, Milliseconds(300), false);
-        CPPUNIT_ASSERT(memory.kept_ >= Policy::longestKept * 8 / 10);
+        CPPUNIT_ASSERT(memory.kept_ >= Policy::maxRetention * 8 / 10);
     }
 
-    // Symptom: a service stays at three times its usual times after a burst.
-    // Sequence: requests stray, each loads its object anew, which fills the slots of others.
-    // Cause: a load that costs the same in an idle service and in a full one.
-    void loadsCostMoreInAFullService()
+    // If a cold load cost the same in an idle service and in a full one, a service would stay at
+    // three times its usual times after a burst: off-owner requests load their objects again, which
+    // takes the slots of other requests.
+    void coldLoadsCostMoreInAFullService()
     {
         const auto load = work.cold_ - work.warm_;
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 0) == load);
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 0.5) == load);
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 0.75) == 3 * load);
-        CPPUNIT_ASSERT(Policy::loadPrice(work, 1) == 4 * load);
-        // Half a second of waiting is worth a load elsewhere only where slots are idle.
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 0) == load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 0.5) == load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 0.75) == 3 * load);
+        CPPUNIT_ASSERT(Policy::coldLoadCost(work, 1) == 4 * load);
+        // Half a second of waiting justifies a cold load on another target only if slots are idle.
         Candidate home;
         home.isHome_ = true;
         home.isKnownWarm_ = true;
@@ -105,7 +105,7 @@
                              Policy::chooseAmong({home, other}, work, 0.75)->candidate_);
     }
 
-    void strayToATargetThatHasTheObjectCostsNoLoad()
+    void offOwnerRequestToAWarmTargetCostsNoLoad()
     {
         Candidate home;
         home.isHome_ = true;
@@ -119,9 +119,9 @@
                              Policy::chooseAmong({home, other}, work, 0.9)->candidate_);
     }
 
-    // Symptom: an entry that hears of a target once a second believes it idle in between.
-    // Cause: a report that counts for nothing once it is old.
-    void othersLoadGoesBackToTheUsual()
+    // If an old report counted for nothing, an entry that receives a target's report once a second
+    // would consider the target idle in between.
+    void peerLoadDecaysToTheAverage()
     {
         Policy::OthersLoad load;
         for (int i = 0; i < 20; ++i)
@@ -151,9 +151,9 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, at(250), 1e-9);
     }
 
-    // Pattern: an entry that calls a far target every three seconds, and one of a large fleet that
-    // calls it every ten. Grounds: a connection may rest for six seconds.
-    void sparesAreForTargetsInUse()
+    // One entry calls a remote target every three seconds, and one of a large fleet calls it every
+    // ten. A connection may stay idle for six seconds.
+    void idleConnectionsAreForTargetsInUse()
     {
         const Milliseconds life(6000);
         const auto worthwhile = [&](int gapMs, int requests, int restMs) {
--- a/Tests/LibPolicy/TestTargetChoice.cpp
+++ b/Tests/LibPolicy/TestTargetChoice.cpp
@@ -26,20 +26,20 @@
 {
     CPPUNIT_TEST_SUITE(TestTargetChoice);
     CPPUNIT_TEST(ownerIsKeptWhileItsWaitIsShort);
-    CPPUNIT_TEST(longWaitGoesToWhoKnowsTheObject);
-    CPPUNIT_TEST(slowTargetIsPassedOverAndComesBack);
+    CPPUNIT_TEST(longWaitMovesRequestToAWarmTarget);
+    CPPUNIT_TEST(slowTargetIsAvoidedUntilItRecovers);
     CPPUNIT_TEST(oneSlowAnswerIsForgiven);
     CPPUNIT_TEST(workTimesSeparateWarmFromCold);
     CPPUNIT_TEST(urgentRequestsAreTakenLonger);
-    CPPUNIT_TEST(whatWouldBeLateIsRefused);
-    CPPUNIT_TEST(returnsOfRefusedCallersAreSpread);
-    CPPUNIT_TEST(partsFollowTheWeights);
-    CPPUNIT_TEST(coldTargetsBearTheLimitInAnySecond);
+    CPPUNIT_TEST(lateRequestsAreRefused);
+    CPPUNIT_TEST(retriesOfRefusedCallersAreSpread);
+    CPPUNIT_TEST(splitsFollowTheWeights);
+    CPPUNIT_TEST(slowStartLimitHoldsInAnySecond);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Pattern: a burst on one target while others idle. Grounds: warm work takes 144 ms and cold
-    // work 480 ms, so a request gains nothing elsewhere until nearly fourteen wait at its owner.
+    // A burst hits one target while others idle. Warm work takes 144 ms and cold work 480 ms, so a
+    // request gains nothing on another target until nearly fourteen wait at its owner.
     void ownerIsKeptWhileItsWaitIsShort()
     {
         const auto choice = Policy::chooseAmong({candidate(true, true, 12, Milliseconds(0)),
@@ -48,7 +48,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), choice->candidate_);
     }
 
-    void longWaitGoesToWhoKnowsTheObject()
+    void longWaitMovesRequestToAWarmTarget()
     {
         const auto choice = Policy::chooseAmong({candidate(true, true, 24, Milliseconds(0)),
                                                  candidate(false, false, 0, Milliseconds(0)),
@@ -58,10 +58,10 @@
         CPPUNIT_ASSERT(!Policy::chooseAmong({}, work, 0.5));
     }
 
-    // Symptom: a target that works five times as long as others keeps its whole share.
-    // Sequence: its answers come late, one after the other; later it is sound again.
-    // Cause: a choice that knows only how many requests are in progress.
-    void slowTargetIsPassedOverAndComesBack()
+    // A target's answers become slow, and later normal again. If only the number of requests in
+    // progress counted, a target that takes five times as long as others would keep its whole
+    // share.
+    void slowTargetIsAvoidedUntilItRecovers()
     {
         Policy::TargetPace pace;
         for (int i = 0; i < 4; ++i)
@@ -107,7 +107,7 @@
         CPPUNIT_ASSERT(judge(2) == Policy::AdmissionVerdict::NoRoom);
     }
 
-    void whatWouldBeLateIsRefused()
+    void lateRequestsAreRefused()
     {
         const Policy::AdmissionCase request{Milliseconds(900), Milliseconds(800), Milliseconds(300),
                                             0};
@@ -115,7 +115,7 @@
                        == Policy::AdmissionVerdict::TooLate);
     }
 
-    void returnsOfRefusedCallersAreSpread()
+    void retriesOfRefusedCallersAreSpread()
     {
         const auto early = Policy::returnAfter(Milliseconds(900), Milliseconds(300), 0);
         const auto late = Policy::returnAfter(Milliseconds(900), Milliseconds(300), 0.99);
@@ -124,7 +124,7 @@
                        > Milliseconds(0));
     }
 
-    void partsFollowTheWeights()
+    void splitsFollowTheWeights()
     {
         Support::assertProperty("any window is within a request of the weights", [] {
             std::vector<Model::RoutePart> parts;
@@ -144,10 +144,10 @@
         });
     }
 
-    // Symptom: a target that came back with empty caches crashes again within a second.
-    // Sequence: all entries learn of it at the same moment and send it its share.
-    // Cause: a limit that each entry applies whole, or savings that all spend at once.
-    void coldTargetsBearTheLimitInAnySecond()
+    // All entries detect at the same moment that a target has returned with empty caches, and send
+    // it its share. If each entry applied the whole limit, or all spent saved tokens at once, the
+    // target would crash again within a second.
+    void slowStartLimitHoldsInAnySecond()
     {
         Support::assertProperty("all entries together keep the limit in any second", [] {
             const Model::RequestsPerSecond limit(11);
@@ -175,12 +175,12 @@
 class TestLiveness : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLiveness);
-    CPPUNIT_TEST(silentInstancesAreNotNamed);
-    CPPUNIT_TEST(restartedInstanceCountsAtOnce);
-    CPPUNIT_TEST(runThatBeganBeforeTheClockWentBackIsReplaced);
-    CPPUNIT_TEST(oldWordOfAnEarlierRunIsIgnored);
-    CPPUNIT_TEST(limitsStayDividedByThoseWhoMayStillRun);
-    CPPUNIT_TEST(onlyTheNearestGroupIsNamed);
+    CPPUNIT_TEST(silentInstancesAreNotAlive);
+    CPPUNIT_TEST(restartedInstanceIsAcceptedAtOnce);
+    CPPUNIT_TEST(lowerIncarnationAfterAClockStepIsAccepted);
+    CPPUNIT_TEST(reportsOfAnEarlierIncarnationAreIgnored);
+    CPPUNIT_TEST(limitsStayDividedBySilentInstances);
+    CPPUNIT_TEST(onlyTheNearestGroupIsReturned);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -197,10 +197,10 @@
         return result;
     }
 
-    // Symptom: callers are sent to an instance that lost power seconds ago.
-    // Sequence: its heartbeat stops; peers go on repeating the last one to each other.
-    // Cause: counting a repeated heartbeat as a sign of life.
-    void silentInstancesAreNotNamed()
+    // An instance loses power and its heartbeat stops, while peers keep exchanging the last one. If
+    // a repeated heartbeat counted as a sign of life, callers would be sent to the instance for
+    // seconds.
+    void silentInstancesAreNotAlive()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 1, 7), start);
@@ -211,10 +211,9 @@
         CPPUNIT_ASSERT(Policy::isAlive(members.begin()->second, later));
     }
 
-    // Symptom: a restarted instance gets no callers for as long as its earlier run lasted.
-    // Sequence: it counts its heartbeats from one again.
-    // Cause: comparing heartbeats of two runs.
-    void restartedInstanceCountsAtOnce()
+    // A restarted instance counts its heartbeats from one again. If heartbeats of two incarnations
+    // were compared, it would get no callers for as long as its earlier incarnation lasted.
+    void restartedInstanceIsAcceptedAtOnce()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 1, 700), start);
@@ -222,10 +221,10 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), members.begin()->second.pulse_.heartbeat_);
     }
 
-    // Symptom: a restarted instance gets no callers for ten minutes.
-    // Sequence: its machine's clock steps back by two seconds, then its process is restarted.
-    // Cause: taking the lower incarnation for an earlier run for ever.
-    void runThatBeganBeforeTheClockWentBackIsReplaced()
+    // The clock of an instance's host steps back by two seconds, then its process is restarted. If
+    // the lower incarnation counted as an earlier one for ever, the instance would get no callers
+    // for ten minutes.
+    void lowerIncarnationAfterAClockStepIsAccepted()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 9, 700), start);
@@ -233,18 +232,18 @@
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 7, 1), soon));
         const auto later = start + Policy::aliveFor + Milliseconds(1);
         CPPUNIT_ASSERT(Policy::hearOf(members, member("a", "r", 7, 8), later));
-        // What others still say of the run before is old by then.
+        // Reports that peers still send of the previous incarnation are old by then.
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 8, 701), start));
     }
 
-    void oldWordOfAnEarlierRunIsIgnored()
+    void reportsOfAnEarlierIncarnationAreIgnored()
     {
         Policy::Members members;
         Policy::hearOf(members, member("a", "r", 2, 1), start);
         CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 1, 900), start));
     }
 
-    void limitsStayDividedByThoseWhoMayStillRun()
+    void limitsStayDividedBySilentInstances()
     {
         Policy::Members members;
         for (const char *id : {"a", "b", "c"})
@@ -258,7 +257,7 @@
                              Policy::entriesIn(members, Model::RegionId("none"), later));
     }
 
-    void onlyTheNearestGroupIsNamed()
+    void onlyTheNearestGroupIsReturned()
     {
         std::vector<Policy::EntryCandidate> candidates;
         for (const char *region : {"r", "r", "s"})
