--- a/Libraries/LibSteering/Instance.cpp
+++ b/Libraries/LibSteering/Instance.cpp
@@ -14,18 +14,20 @@
 
 namespace {
 
-/// How often spare connections are looked after: they get too old within a second.
+/// Interval between refreshes of idle connections, which get too old within a second.
 constexpr Milliseconds sparesPause{500};
 
-/// A clock that counts standstills gets ahead by more than this only while the process stood still.
+/// CLOCK_BOOTTIME gets ahead of CLOCK_MONOTONIC by more than this only while the process is
+/// suspended.
 constexpr Microseconds standstill{300000};
 
-/// A stop takes these steps; together with the longest request they stay inside the time after
-/// which a stopped process is killed.
+/// Durations of the steps of a graceful stop: spreading the leaving state to peers and callers,
+/// then still accepting connections. Together with the longest request they stay below the time
+/// after which the platform kills the process.
 constexpr Milliseconds spreadTime{1700};
 constexpr Milliseconds acceptTime{800};
 constexpr Milliseconds stopStep{20};
-/// What is left of the platform's patience when the process ends at the latest.
+/// The process exits at least this long before the platform would kill it.
 constexpr Milliseconds stopReserve{400};
 
 Microseconds gapBetweenClocks()
@@ -129,7 +131,7 @@
 void Instance::run()
 {
     context_.run();
-    // A second stop signal must not end the process while the first one's handler is taken down.
+    // A second stop signal must not kill the process while the first one's handler is removed.
     Observe::blockStopSignals();
     log_.line(Event::Stopped)
         .add("in_progress", static_cast<std::int64_t>(parts_->dispatcher_.inProgress()));
@@ -254,7 +256,7 @@
     const auto endAt = steadyNow() + port_.terms_.stopGrace_ - stopReserve;
     log_.line(Event::StopRequested)
         .add("in_progress", static_cast<std::int64_t>(parts_->dispatcher_.inProgress()));
-    // First nobody is sent here any more; who comes all the same is still served.
+    // Callers are no longer directed here; requests that still arrive are served.
     updateReadiness();
     parts_->peers_.setLeaving();
     parts_->entry_.beginLeaving();
--- a/Libraries/LibSteering/Instance.h
+++ b/Libraries/LibSteering/Instance.h
@@ -8,28 +8,27 @@
 
 namespace Steering {
 
-/// Everything that one instance runs, in one process and on one thread: it takes callers' requests,
-/// tells callers which entries to use, and keeps in step with the store and with its peers.
+/// One whole instance in one process and on one thread: serves callers' requests, answers look-ups,
+/// follows the store and gossips with its peers.
 ///
 /// Thread safety: none; run() serves until a planned stop is done.
 class Instance
 {
 public:
-    /// \a settingsPath is read again on SIGHUP.
+    /// SIGHUP reloads the settings from \a settingsPath.
     Instance(const Observe::Settings &settings, std::string settingsPath);
     ~Instance();
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /// Sets how the platform is spoken to. Called once, before start().
+    /// Sets the adapter to the platform. Precondition: called once, before start().
     void usePlatform(PlatformPort port);
-    /// The store's client for the port's calls.
+    /// The store client that the port's calls use.
     Platform::Store &store() { return store_; }
 
-    /// Begins to serve. Returns false if an address cannot be listened on, with the last reason
-    /// set.
+    /// Begins to serve. Returns false, with the last reason set, if it cannot listen on an address.
     bool start();
-    /// Serves until a stop signal has been followed to its end.
+    /// Serves until the graceful stop that a signal has requested is complete.
     void run();
 
 private:
@@ -65,11 +64,11 @@
     PlatformPort port_;
     std::unique_ptr<Parts> parts_;
     std::uint64_t tableSeen_ = 0;
-    /// How far the clock that counts standstills is ahead of the one that does not.
+    /// How far CLOCK_BOOTTIME, which advances during a suspend, is ahead of CLOCK_MONOTONIC.
     Model::Microseconds clockGap_{0};
     Model::SteadyTime sparesSeenAt_ = Model::longAgo;
     bool isReady_ = false;
-    /// Its record stands in the store.
+    /// The store holds this instance's record.
     bool isIntroduced_ = false;
     bool isStopping_ = false;
     Model::SteadyTime startedAt_ = Model::longAgo;
--- a/Libraries/LibSteering/InstanceAnswers.cpp
+++ b/Libraries/LibSteering/InstanceAnswers.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-/// How long callers may keep an answer of a look-up.
+/// How long callers may cache a look-up's answer.
 constexpr Milliseconds lookupLife{1500};
-/// A fresh instance waits this long for its peers before it names entries alone.
+/// A newly started instance lists no entries for this long unless it has contacted its peers.
 constexpr Milliseconds peerPatience{1500};
 constexpr std::size_t mostEntriesNamed = 64;
 
@@ -70,7 +70,8 @@
                                version);
 }
 
-/// GET lists them; DELETE of /quarantines/PRINT lifts one, here and, through the peers, everywhere.
+/// GET lists the quarantines; DELETE of /quarantines/PRINT releases one here and, by gossip, on all
+/// instances.
 Http::Response Instance::answerQuarantines(const Http::Request &request)
 {
     const auto now = steadyNow();
--- a/Libraries/LibSteering/InstanceParts.cpp
+++ b/Libraries/LibSteering/InstanceParts.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// Requests of one connection that are worked on at the same time.
+/// Requests of one connection that are processed concurrently.
 constexpr std::size_t pipelineDepth = 16;
-/// Callers are allowed this much more than the table's idle limit, so that none finds its
-/// connection closed at the very moment that it uses it.
+/// Added to the table's idle limit, so that a caller that keeps the limit does not use a connection
+/// at the moment it is closed.
 constexpr Milliseconds idleSlack{2000};
 
 } // namespace
--- a/Libraries/LibSteering/InstanceParts.h
+++ b/Libraries/LibSteering/InstanceParts.h
@@ -4,10 +4,10 @@
 
 namespace Steering {
 
-/// Returns what the server for callers takes under the table's limits. Thread safety: any thread.
+/// Returns the entry server's limits for the table's limits. Thread safety: any thread.
 Http::ServerLimits entryLimits(const Model::CallerLimits &limits);
 
-/// The parts that need the port, in the order in which they depend on each other.
+/// The components that need the port, in the order of their dependencies.
 struct Instance::Parts
 {
     explicit Parts(Instance &instance);
--- a/Libraries/LibSteering/InstanceRecords.cpp
+++ b/Libraries/LibSteering/InstanceRecords.cpp
@@ -9,18 +9,19 @@
 
 namespace {
 
-/// How often an instance looks whether it has to find others through the store: a round of asking
-/// seeds and its answers fit into it.
+/// Interval between checks for whether other instances have to be discovered through the store. A
+/// gossip round with the seeds completes within it.
 constexpr Milliseconds introductionPause{500};
-/// Until then everybody that starts with the others takes itself for a reader.
+/// Before this age, instances that start together all consider themselves store readers.
 constexpr Milliseconds settlingTime{3000};
-/// Between two reads of the instances' records while nobody is known, and while some region is
-/// silent: regions may lose each other for an hour and find each other by these.
+/// Intervals between two reads of the instances' records: while no other instance is alive, and
+/// while some region has no live instance. Regions that lose contact for an hour rediscover each
+/// other through these records.
 constexpr Milliseconds pauseWhileAlone{2000};
 constexpr Milliseconds pauseWhileApart{30000};
 
-/// How long a fresh instance waits to hear which requests are in quarantine, where neither the
-/// store nor a ready peer tells; and the pause between two attempts to read or write it.
+/// How long a newly started instance waits for the list of quarantined requests when neither the
+/// store nor a ready peer sends it; and the interval between two attempts to read or write it.
 constexpr Milliseconds quarantinePatience{1500};
 constexpr Milliseconds quarantinePause{300};
 
@@ -36,8 +37,8 @@
 
 } // namespace
 
-/// Finds other instances through the store where the seeds do not lead to any, and makes this one
-/// known there if it is one of those that read the store: they are enough to be found by.
+/// Discovers other instances through the store where the seeds lead to none, and registers this one
+/// there if it is a store reader: the readers' records suffice for discovery.
 Task<void> Instance::introduce()
 {
     auto readAt = startedAt_;
@@ -86,11 +87,11 @@
         .add("reason", toText(Model::lastReason()));
 }
 
-/// Learns which requests are in quarantine when it starts, from the store or from a ready peer, and
-/// writes what changes.
+/// Loads the quarantined requests at the start, from the store or from a ready peer, and then
+/// writes changes to the store.
 ///
-/// What goes wrong without the store: all instances are killed at the same time, none knows what
-/// ended targets before, and targets end under it again.
+/// Without the store, when all instances are killed at the same time, none knows which requests
+/// have crashed targets, and the same requests crash targets again.
 Task<void> Instance::keepQuarantines()
 {
     while (!parts_->guard_.isInformed()) {
--- a/Libraries/LibSteering/Knowledge.cpp
+++ b/Libraries/LibSteering/Knowledge.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/// Since always: a drain that an operator has ordered without a time is in force at once.
+/// Start time of a drain that an operator has requested without a time: it is in force at once.
 constexpr const char *longAgo = "2000-01-01T00:00:00Z";
 
-/// No peer tells of removals that are older.
+/// Upper limit for the age of a removal that a peer reports.
 constexpr std::uint64_t longestAgeMs = 60000;
 
 json toJson(const Platform::StoredRows &rows, bool isWhole)
@@ -31,7 +31,7 @@
     return changes ? toJson(*changes, false) : toJson(mirror.everything(), true);
 }
 
-/// Throws json::exception for anything that toJson() did not write.
+/// Throws json::exception for input that toJson() has not written.
 Platform::StoredRows rowsFromJson(const json &text)
 {
     Platform::StoredRows rows;
@@ -86,7 +86,7 @@
     Mirror &mirror = table == StoreTable::Operators ? operators_ : targets_;
     const auto before = mirror.lastChange();
     mirror.apply(changes);
-    // A peer may have told of all of it while the store's answer was on its way.
+    // A peer may have sent all these changes while the store's answer was in transit.
     if (mirror.lastChange() == before)
         return;
     if (table == StoreTable::Operators) {
@@ -138,7 +138,7 @@
             .add("offered", static_cast<std::int64_t>(decoded->version_.value()));
         return;
     }
-    // A table of 1,500 routes has two megabytes of rows, so they are handed on and not copied.
+    // A table of 1,500 routes has two megabytes of rows, so they are moved and not copied.
     auto drainedNow = decoded->drained_;
     const Model::TableVersion version = decoded->version_;
     auto built = Model::Table::build(version, allRows(std::move(*decoded)), {});
@@ -195,7 +195,7 @@
         text["targets"] = jsonFor(targets_, held.targets_);
     for (const auto &[id, age] : removals)
         text["removals"][id] = static_cast<std::uint64_t>(age.count());
-    // Unlike JSON, MessagePack carries any bytes: a row may hold some that are no text.
+    // Unlike JSON, MessagePack carries any bytes: a row may hold bytes that are not valid text.
     std::string bytes;
     json::to_msgpack(text, bytes);
     return bytes;
@@ -205,7 +205,9 @@
 {
     const json parsed = json::from_msgpack(text, true, false);
     if (!parsed.is_object()) {
-        log_.line(Event::TableRefused).add("source", peer).add("reason", "no MessagePack object");
+        log_.line(Event::TableRefused)
+            .add("source", peer)
+            .add("reason", "the peer's answer is not a MessagePack object");
         return false;
     }
     bool isNews = false;
@@ -216,8 +218,8 @@
         const bool isWhole = parsed[name].at("whole").get<bool>();
         const Mirror &held = mirror(table);
         const bool isNewer = !held.isKnown() || rows.revision_ > held.position();
-        // Changes lead on from what was held when they were asked for; without that they are
-        // nothing that could be used.
+        // Changes apply to the revision that was held when they were requested; without any rows
+        // they are useless.
         if (!isNewer || (!isWhole && !held.isKnown()))
             return;
         isNews = true;
--- a/Libraries/LibSteering/Knowledge.h
+++ b/Libraries/LibSteering/Knowledge.h
@@ -10,59 +10,63 @@
 
 namespace Steering {
 
-/// How long ago targets' registrations were first found to be gone, by the target's id.
+/// The time since each target's registration was first found to have expired or to have been
+/// removed, by target id.
 using RemovalAges = std::map<std::string, Model::Milliseconds>;
 
-/// Returns the ages in a text that Knowledge::forPeer() wrote; none if it has none that can be
-/// read. Thread safety: any thread.
+/// Returns the ages in a text that Knowledge::forPeer() wrote; empty if there are none or they
+/// cannot be parsed. Thread safety: any thread.
 RemovalAges removalsFromPeer(const std::string &text);
 
-/// Up to where an instance knows the tables; zero where it knows nothing of one.
+/// The revisions up to which an instance holds the tables; zero for a table that it does not hold.
 struct HeldPositions
 {
     Platform::Revision operators_;
     Platform::Revision targets_;
 };
 
-/// What an instance knows of the platform: the operators' table and the targets, each with its age.
+/// An instance's copy of the platform's state: the operators' table and the targets' registrations.
 ///
-/// Versions only grow, whoever offers them. Thread safety: none; belongs to one thread.
+/// Versions only increase, whether the store or a peer supplies them. Thread safety: none; belongs
+/// to one thread.
 class Knowledge
 {
 public:
     Knowledge(const PlatformPort &port, const Observe::Settings &settings,
               Observe::DecisionLog &log);
 
-    /// Takes in all rows of a table, or changes since its position.
+    /// Records all rows of a table, or the changes since its revision.
     void replace(StoreTable table, const Platform::StoredRows &rows, std::string_view source);
     void apply(StoreTable table, const Platform::StoredRows &changes, std::string_view source);
 
     const Mirror &mirror(StoreTable table) const;
 
-    /// The operators' table in force, or nullptr before any is known.
+    /// The operators' table in force, or nullptr before the first one.
     const std::shared_ptr<const Model::Table> &table() const { return table_; }
-    /// Failure domains whose targets are to get nothing for now.
+    /// Drained failure domains: their targets receive no requests.
     const std::set<Model::FailureDomainId> &drained() const { return drained_; }
-    /// Grows with each change of the table or of what is drained.
+    /// Increases with each change of the table or of the drained failure domains.
     std::uint64_t tableChanges() const { return tableChanges_; }
-    /// Grows with each change of a target's row.
+    /// Increases with each change of a target's row.
     std::uint64_t targetChanges() const { return targetChanges_; }
-    /// Who told of the latest change of a target's row: "store" or a peer's name.
+    /// The source of the latest change of a target's row: "store" or a peer's name.
     const std::string &targetsSource() const { return targetsSource_; }
 
-    /// Returns up to where the tables are known here.
+    /// Returns the revisions up to which this instance holds the tables.
     HeldPositions held() const;
-    /// Tells whether somebody whose last changes are these knows something that is not known here.
+    /// Tells whether an instance whose last changes are these holds rows that are missing here.
     ///
-    /// What goes wrong with comparing last changes: two instances that read the store at different
-    /// moments of a calm hour have different ones and know the same; the one with the lower goes on
-    /// asking the other, ten times a second, for nothing. Everything up to a position is known.
+    /// Compares a peer's last changes with the local revisions, up to which every change is known.
+    /// If two revisions were compared, two instances that read the store at different moments of a
+    /// quiet hour would differ while they hold the same rows, and the one with the lower revision
+    /// would send the other useless requests ten times a second.
     bool lacks(const HeldPositions &lastChanges) const;
-    /// Returns what a peer that holds so much lacks: a text that takeFromPeer() reads. It has the
-    /// changes alone where those are known, else all rows. \a removals goes with it: the time for
-    /// which a missing target may be used begins with the first that notices it, not with the last.
+    /// Returns the rows that a peer at these revisions is missing, as a text that takeFromPeer()
+    /// reads: only the changes where they are known, else all rows. The text includes \a removals,
+    /// because the time for which a missing target may be used begins when the first instance
+    /// notices that it is missing, not the last.
     std::string forPeer(const HeldPositions &held, const RemovalAges &removals = {}) const;
-    /// Takes in what a peer knows where it is newer. Returns whether anything was.
+    /// Records a peer's rows where they are newer. Returns whether any were.
     bool takeFromPeer(const std::string &text, const std::string &peer);
 
 private:
--- a/Libraries/LibSteering/LibSteering.h
+++ b/Libraries/LibSteering/LibSteering.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// LibSteering: an instance in one process on one thread: its path of a request, its knowledge of
-/// the platform and its exchange with peers. What speaks to a platform is given as a PlatformPort.
+/// LibSteering: an instance in one process on one thread: request dispatch, the replicated platform
+/// state and gossip with peers. A PlatformPort supplies the calls to the platform.
 /// This is the library's only public header.
 
 #include "CrashGuard.h"
--- a/Libraries/LibSteering/Mirror.cpp
+++ b/Libraries/LibSteering/Mirror.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Removed rows that are remembered for peers that ask for changes: several times as many as a
-/// large site replaces in a day, at some dozen bytes each.
+/// Removed rows that are kept for peers that request changes: several times as many as a large site
+/// replaces in a day, at some dozen bytes each.
 constexpr std::size_t mostRemovals = 4096;
 
 } // namespace
@@ -33,7 +33,8 @@
         if (held == rows_.end() || held->second.revision_ != row.revision_)
             put(row);
     }
-    // What is missing went at some time before; nobody who asks later may miss it.
+    // A missing row was removed at some earlier revision. It gets the newest one, so that every
+    // peer that requests changes later receives the removal.
     std::vector<std::string> gone;
     for (const auto &[key, row] : rows_) {
         if (!present.contains(key))
--- a/Libraries/LibSteering/Mirror.h
+++ b/Libraries/LibSteering/Mirror.h
@@ -7,34 +7,33 @@
 
 namespace Steering {
 
-/// One table of the store as it is known here, whoever told of it.
+/// A local replica of one table of the store, fed by the store and by peers.
 ///
 /// Thread safety: none.
 class Mirror
 {
 public:
     const std::map<std::string, Platform::StoredRow> &rows() const { return rows_; }
-    /// Everything up to this revision is in rows().
+    /// The revision up to which rows() has every change.
     Platform::Revision position() const { return position_; }
-    /// The revision of the last change that is in rows(): unlike the position it stands still while
-    /// only other tables change, so it tells who knows more.
+    /// The revision of the last change in rows(). Unlike position() it does not increase while only
+    /// other tables change, so it shows which of two instances holds newer rows.
     Platform::Revision lastChange() const { return lastChange_; }
     bool isKnown() const { return isKnown_; }
-    /// Returns the revision in which a row was gone that is not there any more. Nothing if it never
-    /// was, or went so long ago that this is forgotten.
+    /// Returns the revision in which a row was removed; std::nullopt if the row exists, has never
+    /// existed, or its removal has been forgotten.
     std::optional<Platform::Revision> removedAt(const std::string &key) const;
 
-    /// Replaces everything, unless \a rows is older than what is known. Returns whether it did.
+    /// Replaces all rows, unless \a rows is older than position(). Returns whether it did.
     bool replace(const Platform::StoredRows &rows);
 
-    /// Takes in changes, each unless its row is known as it was later: they may come from the store
-    /// and from peers, in any order and more than once. Precondition: they lead on from a position
-    /// that is not above position().
+    /// Records each change unless a newer state of its row is known: changes may come from the
+    /// store and from peers, in any order and more than once. Precondition: they start at a
+    /// revision that is not above position().
     void apply(const Platform::StoredRows &changes);
 
-    /// Returns what changed after \a position, or nothing if that is not known any more.
+    /// Returns the changes after \a position, or std::nullopt if they have been forgotten.
     std::optional<Platform::StoredRows> changesSince(Platform::Revision position) const;
-    /// Returns all rows.
     Platform::StoredRows everything() const;
 
 private:
@@ -44,11 +43,11 @@
     void forgetOldRemovals();
 
     std::map<std::string, Platform::StoredRow> rows_;
-    /// When rows went that are not there any more.
+    /// The revisions in which removed rows were removed, by key.
     std::map<std::string, Platform::Revision> removedAt_;
     Platform::Revision position_;
     Platform::Revision lastChange_;
-    /// What went before this revision is not known.
+    /// Removals before this revision have been forgotten.
     Platform::Revision removalsKnownSince_;
     bool isKnown_ = false;
 };
--- a/Libraries/LibSteering/PeerCalls.cpp
+++ b/Libraries/LibSteering/PeerCalls.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// A peer on the other side of a continent answers within a few round trips.
+/// A peer on the other side of a continent answers within this time, which is a few round trips.
 constexpr Milliseconds askTimeout{500};
 constexpr Milliseconds fetchTimeout{1500};
-/// After a peer did not tell what it knows, until another one is asked.
+/// Delay after a failed request for rows until the next one.
 constexpr Milliseconds fetchPause{150};
 constexpr std::size_t connectionsToPeer = 2;
 constexpr Milliseconds longestRest{5000};
@@ -29,7 +29,7 @@
            + std::to_string(held.targets_.value());
 }
 
-/// Reads what knowledgeTarget() wrote.
+/// Parses a request target that knowledgeTarget() has written.
 std::optional<HeldPositions> positionsIn(const std::string &target)
 {
     if (!target.starts_with(knowledgePath))
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-/// An instance that reads the store, and gathers news or waits for a first answer, leaves peers
-/// that know more alone for this long.
+/// A store reader that is behind waits this long for the store before it requests rows from peers:
+/// it may be batching changes or waiting for its first answer.
 constexpr Milliseconds gatheringPatience{700};
-/// Peers that are asked for their rows at the same time.
+/// Concurrent requests for rows to peers.
 constexpr std::size_t mostAsked = 2;
-/// An instance that knows of newer rows and does not get them from its peers for so long reads the
-/// store itself.
+/// An instance that has been behind for this long, because its peers do not send their newer rows,
+/// reads the store itself.
 constexpr Milliseconds peerPatience{1000};
-/// Until so many rounds are over a fresh instance reads each table once and asks for no changes:
-/// sixty that take each other for the only one would make ten calls each. It is 1.6 s, in which a
-/// change can wait.
+/// Before this many rounds have passed, a newly started instance reads each table once and requests
+/// no changes: sixty instances that each consider themselves the only one would make ten calls
+/// each. The rounds take 1.6 s, by which a change may be delayed.
 constexpr std::uint64_t roundsToSettle = 4;
 
 Http::ServerLimits peerLimits()
@@ -145,7 +145,7 @@
     }
     if (members_.contains(member->instance_.id_))
         return;
-    // The store does not say whether it still runs.
+    // The store's record does not show whether the instance still runs.
     member->isHearsay_ = true;
     hear(std::move(*member));
 }
@@ -190,7 +190,7 @@
     auto peers = Policy::peersOfRound(members_, ownInstance(), now, random_());
     if (peers.size() >= Policy::nearPeersInRound)
         return peers;
-    // Seeds may be stale; they are asked while hardly anyone is known.
+    // Seeds may be stale, so they are used only while few instances are known.
     std::vector<Model::Instance> seeds;
     for (const auto &address : settings_.seeds_) {
         Model::Instance seed;
@@ -267,7 +267,7 @@
     });
 }
 
-/// Returns a peer that knows newer rows, as near as there is one, or nullptr.
+/// Returns the nearest peer that has newer rows and no request in progress, or nullptr.
 const Policy::Member *PeerExchange::betterInformed(SteadyTime now)
 {
     const auto knowsMore = [this](const Policy::Member &member) {
@@ -299,7 +299,7 @@
         catchUp(std::chrono::steady_clock::now());
 }
 
-/// Tells whether the store should have told this instance what \a peer knows of a table.
+/// Tells whether the waiting call to the store should have returned the newer rows of \a peer.
 bool PeerExchange::isCallHanging(StoreTable table, const Policy::Member &peer, SteadyTime now) const
 {
     const auto &pulse = peer.pulse_;
@@ -308,8 +308,8 @@
            && hasWaitedSince_(table, now - Policy::readerPatience);
 }
 
-/// A second peer is asked beside the first one if that does not answer: it may have stopped since
-/// it told that it knows more.
+/// Allows a second concurrent request if the first peer does not answer: that peer may have stopped
+/// after it announced newer rows.
 bool PeerExchange::mayFetch(SteadyTime now) const
 {
     if (asked_.empty())
@@ -317,7 +317,7 @@
     return asked_.size() < mostAsked && now - askedAt_ >= Policy::fetchPatience;
 }
 
-/// Asks for the rows that a peer knows and this instance does not, if there are any.
+/// Requests the rows that a peer has and this instance is missing, if there are any.
 void PeerExchange::catchUp(SteadyTime now)
 {
     const Policy::Member *peer = betterInformed(now);
@@ -349,7 +349,7 @@
     const auto now = std::chrono::steady_clock::now();
     if (behindSince_ && now - *behindSince_ > peerPatience)
         return Policy::ReaderRank::First;
-    // In a fleet that starts together nobody knows yet how many there are.
+    // In a fleet that starts together, no instance knows the number of members yet.
     if (rounds_ < roundsToSettle)
         return Policy::ReaderRank::None;
     return Policy::readerRank(members_, ownInstance(), now);
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -10,11 +10,12 @@
 
 namespace Steering {
 
-/// Tells other instances what this one knows of all, and hears the same from them.
+/// Gossips with other instances about all members, loads and crashes.
 ///
-/// Each round asks a few instances drawn by chance, most of them in the own region, so news reaches
-/// all in a few rounds and the cost for each instance does not grow with their number. Whoever
-/// hears that a peer knows newer rows of the store asks it for them.
+/// Each round exchanges messages with a few instances chosen at random, most of them in the local
+/// region, so an update reaches all instances in a few rounds and the cost for each instance does
+/// not grow with their number. An instance that learns that a peer has newer rows of the store
+/// requests them from it.
 /// Thread safety: none; runs on one thread's io_context, which must end before the object does.
 class PeerExchange
 {
@@ -22,66 +23,71 @@
     PeerExchange(Http::asio::io_context &context, const Observe::Settings &settings,
                  Knowledge &knowledge, Observe::DecisionLog &log);
 
-    /// Begins to listen and to ask. Returns false if it cannot listen, with the last reason set.
+    /// Begins to listen and to gossip. Returns false, with the last reason set, if it cannot
+    /// listen.
     bool start();
 
-    /// Says of this instance, from now on, whether it takes callers' requests or is leaving.
+    /// Sets whether this instance is announced as ready for callers' requests or as leaving.
     void setReady(bool isReady) { isReady_ = isReady; }
     void setLeaving();
 
-    /// Called whenever it may have changed how this instance stands with the store.
+    /// Called whenever this instance's contact with the store may have changed.
     void setStoreStanding(const Policy::StoreStanding &standing) { store_ = standing; }
-    /// Returns that, and how the living peers stand with it.
+    /// Returns the store standing of this instance and of its live peers.
     Policy::StoreEvidence storeEvidence() const;
-    /// Called when a peer's knowledge was taken in.
+    /// Sets the callback for when rows from a peer have been recorded.
     void setKnowledgeChanged(std::function<void()> changed) { changed_ = std::move(changed); }
 
-    /// Sets where the loads of targets that peers are told come from, and where theirs go.
+    /// Sets the source of the target loads that are sent to peers, and the sink for theirs.
     void setLoadNews(std::function<std::vector<Policy::TargetLoad>()> told,
                      std::function<void(const std::vector<Policy::TargetLoad> &)> heard);
 
-    /// Sets where news of ended targets and of requests in quarantine comes from, and where that of
-    /// peers goes, with whether the peer is ready.
+    /// Sets the source of updates on crashed targets and quarantined requests, and the sink for
+    /// those of peers; the sink also gets whether the peer is ready.
     void setCrashNews(std::function<Policy::CrashNews()> told,
                       std::function<void(const Policy::CrashNews &, bool)> heard);
 
-    /// Sets what tells whether this instance's call for a table has waited for news since a time,
-    /// and what has the store asked anew.
+    /// Sets the function that tells whether this instance's call for a table has waited for changes
+    /// since a time, and the one that restarts that call.
     void setStoreCalls(std::function<bool(StoreTable, Model::SteadyTime)> hasWaitedSince,
                        std::function<void(StoreTable)> askAnew);
-    /// Sets where it comes from, and where it goes, how long ago targets' registrations were first
-    /// found to be gone.
+    /// Sets the source of the ages of expired or removed target registrations, and the sink for
+    /// those of peers.
     void setRemovalNews(std::function<RemovalAges()> told,
                         std::function<void(const RemovalAges &)> heard);
 
-    /// If this instance is known to lack rows, asks for them where that is due. Called every tick.
+    /// Requests missing rows from a peer if this instance is behind and a request is due. Called
+    /// every tick.
     void lookForNews();
 
-    /// If there is news of the store, tells it at once to a few peers that do not read the store.
+    /// Sends the revisions, if they have changed, at once to a few peers that do not read the
+    /// store.
     void announce();
 
-    /// Takes what an instance said of itself in the store; it counts once it was heard of.
+    /// Adds the member that an instance's record in the store describes. It stays unconfirmed until
+    /// a heartbeat of it arrives.
     void addRecord(const std::string &record);
-    /// Returns what this instance says of itself in the store.
+    /// Returns this instance's record for the store.
     std::string ownRecord() const;
 
     const Policy::Members &members() const { return members_; }
     const Model::Instance &ownInstance() const;
-    /// Tells whether at least one exchange with each of a few peers was tried.
+    /// Tells whether an exchange with each of a few peers has been attempted.
     bool hasAsked() const { return rounds_ >= 2; }
-    /// Tells whether any other instance is known to run.
+    /// Tells whether any other instance is alive.
     bool knowsAnyone() const;
-    /// Tells whether a running instance of every region of the settings is known.
+    /// Tells whether an instance in every region of the settings is alive.
     bool knowsEveryRegion() const;
-    /// When a peer last spoke and nobody was known to know newer rows.
+    /// When a message last arrived from a peer while no peer was known to have newer rows.
     Model::SteadyTime informedAt() const { return informedAt_; }
-    /// Tells whether this instance is to read the store.
+    /// Returns whether this instance reads the store, and in which role.
     Policy::ReaderRank readerRank() const;
 
-    /// What this instance's calls to peers have moved so far.
+    /// The traffic of this instance's calls to peers so far.
     const PeerTraffic &traffic() const { return traffic_; }
 
-    /// Takes it that everything heard is old: the process stood still.
+    /// Makes all members unconfirmed, because the ages of their heartbeats are wrong after the
+    /// process was suspended.
     void forgetAges();
 
 private:
@@ -137,11 +143,11 @@
     bool isReady_ = false;
     bool isLeaving_ = false;
     Policy::StoreStanding store_;
-    /// Peers that are being asked for their rows.
+    /// Peers to which a request for rows is in progress.
     std::set<Model::InstanceId> asked_;
     Model::SteadyTime askedAt_ = Model::longAgo;
     Model::SteadyTime fetchAgainAt_ = Model::longAgo;
-    /// Since when a peer is known to know newer rows.
+    /// Since when a peer is known to have newer rows.
     std::optional<Model::SteadyTime> behindSince_;
     Model::SteadyTime informedAt_ = Model::longAgo;
 };
--- a/Libraries/LibSteering/PeerMessage.cpp
+++ b/Libraries/LibSteering/PeerMessage.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// A pulse is an array; these are its places.
+// A heartbeat record is encoded as an array with these indices.
 enum PulsePlace {
     Id,
     Run,
@@ -71,7 +71,7 @@
     pulse.targetsSeen_ = text.at(Targets).get<std::uint64_t>();
     pulse.regionEntries_ = text.at(Entries).get<std::uint32_t>();
     pulse.age_ = Model::Milliseconds(text.at(Age).get<long long>());
-    // Instances of an earlier version do not say for how long the store has answered them.
+    // Instances of an earlier version do not send how long the store has answered them.
     if (text.size() > TargetsRead) {
         const Model::Milliseconds answered(text.at(StoreAnswered).get<long long>());
         pulse.storeAnswered_ = std::max(Model::Milliseconds(0), answered);
@@ -94,11 +94,11 @@
 {
     const auto address = Model::addressFromText(text.get<std::string>());
     if (!address)
-        throw std::invalid_argument("no address: " + text.get<std::string>());
+        throw std::invalid_argument("invalid address: " + text.get<std::string>());
     return *address;
 }
 
-/// Throws std::exception for anything that toJson() did not write.
+/// Throws std::exception for input that toJson() has not written.
 Member memberFromJson(const json &text, SteadyTime now)
 {
     Member member;
@@ -122,7 +122,7 @@
     return load;
 }
 
-// Ended runs and quarantines are arrays of numbers, like pulses.
+// Crashed incarnations and quarantines are encoded as arrays of numbers, like heartbeat records.
 json toJson(const Policy::CrashNews &news)
 {
     json runs = json::array();
@@ -207,7 +207,7 @@
 {
     const json all = json::from_msgpack(bytes, true, false);
     if (!all.is_object())
-        return unreadable("no MessagePack object");
+        return unreadable("the message is not a MessagePack object");
     try {
         PeerMessage message;
         message.sender_ = memberFromJson(all.at("sender"), now);
@@ -215,8 +215,8 @@
             message.news_.whole_.push_back(memberFromJson(member, now));
         for (const auto &pulse : all.at("pulses"))
             message.news_.pulses_.push_back(pulseFromJson(pulse));
-        // Instances of an earlier version, which run beside this one while a fleet is replaced,
-        // tell of no loads.
+        // Instances of an earlier version, which run beside this one during a rolling upgrade, send
+        // no loads.
         for (const auto &load : all.value("loads", json::array()))
             message.loads_.push_back(loadFromJson(load));
         if (all.contains("crashes"))
@@ -236,7 +236,7 @@
 {
     const json parsed = json::parse(text, nullptr, false);
     if (!parsed.is_object())
-        return unreadable("no JSON object");
+        return unreadable("the record is not a JSON object");
     try {
         return memberFromJson(parsed, now);
     } catch (const std::exception &error) {
--- a/Libraries/LibSteering/PeerMessage.h
+++ b/Libraries/LibSteering/PeerMessage.h
@@ -7,8 +7,8 @@
 
 namespace Steering {
 
-/// What an instance says when it asks a peer: who it is, and what it knows of others. The peer
-/// answers with itself and its news.
+/// A gossip message: the sender's record and its updates on other members, on loads and on crashes.
+/// Request and answer have the same form.
 struct PeerMessage
 {
     Policy::Member sender_;
@@ -17,15 +17,15 @@
     Policy::CrashNews crashes_;
 };
 
-/// Returns \a message in MessagePack: a record of an instance is 150 bytes there and a pulse 40,
-/// where JSON with names takes 250 for either. Thread safety: any thread.
+/// Encodes \a message as MessagePack: a full member record takes 150 bytes and a heartbeat record
+/// 40, where JSON with names takes 250 for either. Thread safety: any thread.
 std::string toBytes(const PeerMessage &message);
 
-/// Reads what toBytes() wrote at \a now. Nothing, with PeerMessageUnreadable as the last reason,
-/// if it is anything else. Thread safety: any thread.
+/// Decodes a message of toBytes() that arrived at \a now. Returns std::nullopt, with
+/// PeerMessageUnreadable as the last reason, for anything else. Thread safety: any thread.
 std::optional<PeerMessage> peerMessageFromBytes(const std::string &bytes, Model::SteadyTime now);
 
-/// The same for one member alone, as text: what an instance writes of itself to the store.
+/// The same for one member, as JSON text: the record that an instance writes to the store.
 std::string toText(const Policy::Member &member);
 std::optional<Policy::Member> memberFromText(const std::string &text, Model::SteadyTime now);
 
--- a/Libraries/LibSteering/PeerTraffic.h
+++ b/Libraries/LibSteering/PeerTraffic.h
@@ -8,26 +8,26 @@
 
 namespace Steering {
 
-/// What instances call each other for.
+/// The kinds of calls between instances.
 enum class PeerCall { Gossip, Announcement, Knowledge };
 
-/// The smallest place that holds both ends of a call.
+/// The smallest scope that contains both ends of a call.
 enum class Reach { Domain, Region, Fleet };
 
-/// Bytes of bodies, both ways, of the calls that one instance made. Those that it took are counted
-/// by the others, so the fleet's sum has each byte once.
+/// Body bytes, in both directions, of the calls that one instance has made. Calls that it has
+/// received are counted by their senders, so the fleet's sum includes each byte once.
 struct PeerTraffic
 {
     std::map<std::pair<PeerCall, Reach>, std::uint64_t> bytes_;
 };
 
-/// Returns how far a call from \a own to \a peer goes. Thread safety: any thread.
+/// Returns the scope of a call from \a own to \a peer. Thread safety: any thread.
 Reach reachOf(const Model::Instance &own, const Model::Instance &peer);
 
 /// Adds \a bytes. Thread safety: \a traffic belongs to the calling thread.
 void countBytes(PeerTraffic &traffic, PeerCall call, Reach reach, std::size_t bytes);
 
-/// Names for metrics. Thread safety: any thread.
+/// Returns the label value for metrics. Thread safety: any thread.
 const char *nameOf(PeerCall call);
 const char *nameOf(Reach reach);
 
--- a/Libraries/LibSteering/PlatformPort.h
+++ b/Libraries/LibSteering/PlatformPort.h
@@ -16,108 +16,109 @@
 
 /// The tables of the platform's store that an instance reads.
 enum class StoreTable {
-    /// What operators wrote: the table and which failure domains to keep free.
+    /// The operators' configuration: the table and the drained failure domains.
     Operators,
-    /// What targets say of themselves.
+    /// The targets' registrations.
     Targets,
 };
 
-/// What operators wrote, as rows of the product's own table.
+/// The operators' configuration, translated into rows of the internal table.
 struct OperatorRows
 {
     Model::TableVersion version_;
     /// Rows of services, routes and limits.
     std::vector<Model::Row> rows_;
-    /// Failure domains whose targets are to get nothing for now.
+    /// Drained failure domains: their targets receive no requests.
     std::set<Model::FailureDomainId> drained_;
 };
 
-/// What the platform promises and asks of everyone.
+/// Limits that the platform guarantees or requires.
 struct PlatformTerms
 {
-    /// A stopped process is killed after this time.
+    /// Time from the stop signal until the platform kills the process.
     Model::Milliseconds stopGrace_{6000};
-    /// Callers keep an answer of a look-up no longer than this.
+    /// Callers cache a look-up's answer for at most this long.
     Model::Milliseconds longestLookupLife_{5000};
-    /// All instances together may send this part of a service's requests a second time ...
+    /// All instances together may retry this fraction of a service's requests ...
     double retryShare_ = 0.2;
-    /// ... and so many more in a window.
+    /// ... plus this many requests in a window.
     double retryExtra_ = 64;
-    /// Part of a region's traffic that may change the region in which it runs in a second.
+    /// Fraction of a region's traffic that may move to another region per second.
     Model::SharePerSecond regionShiftCap_{0.05};
 };
 
-/// What a target said of its load in an answer.
+/// The load that a target has reported in an answer.
 struct LoadReport
 {
     std::int64_t running_ = 0;
     std::int64_t waiting_ = 0;
 };
 
-/// Names of the header fields that callers and targets use.
+/// Names of the header fields in the exchanges with callers and targets.
 struct HeaderNames
 {
-    /// Each attempt of a caller has its own id; the target echoes it.
+    /// The id of one attempt of a caller; the target echoes it.
     std::string_view requestId_;
-    /// Milliseconds that the sender will still wait.
+    /// Milliseconds that the sender will continue to wait.
     std::string_view timeLeft_;
-    /// Requests about one object carry one value.
+    /// Identifies the object; the same in all requests about it.
     std::string_view affinityKey_;
-    /// The run of the target that may work on the request; any other one refuses.
+    /// The target incarnation that may process the request; any other one refuses it.
     std::string_view expectedTarget_;
-    /// In an answer: the target has not worked on the request.
+    /// In an answer: the target has not executed the request.
     std::string_view notRun_;
-    /// Names the caller, where callers have names.
+    /// The caller's name, if it has one.
     std::string_view caller_;
 };
 
-/// The platform as the product sees it: calls that only translate. Whoever implements it decides,
-/// keeps and repeats nothing.
+/// The adapter to a platform: functions that only translate. An implementation makes no decisions,
+/// keeps no state and retries nothing.
 ///
 /// Thread safety: every function is called on one thread.
 struct PlatformPort
 {
-    /// Returns all rows of a table as they stood together. Nothing, with the last reason set, if
-    /// the store does not serve the call.
+    /// Returns a consistent snapshot of all rows of a table; std::nullopt, with the last reason
+    /// set, if the store does not serve the call.
     std::function<Http::Task<std::optional<Platform::StoredRows>>(StoreTable)> readAll_;
 
-    /// Waits at most the given time for rows that changed after a revision; none is an answer too.
-    /// PlatformHistoryGone as the last reason means that everything has to be read anew. The
-    /// control, which outlives the call, may end it.
+    /// Waits at most the given time for rows that changed after a revision; an empty list is a
+    /// valid answer. PlatformHistoryGone as the last reason means that all rows have to be read
+    /// again. The control, which outlives the call, may cancel it.
     std::function<Http::Task<std::optional<Platform::StoredRows>>(
         StoreTable, Platform::Revision, Model::Milliseconds, Http::ExchangeControl &)>
         awaitChanges_;
 
-    /// Writes what an instance says of itself, or removes it; returns whether the store took it.
+    /// Writes or removes an instance's record; returns whether the store accepted the change.
     std::function<Http::Task<bool>(std::string instance, std::optional<std::string> record)>
         writeInstance_;
-    /// Returns what all instances said of themselves.
+    /// Returns the records of all instances.
     std::function<Http::Task<std::optional<std::vector<std::string>>>()> readInstances_;
 
-    /// Writes or removes the record of a request in quarantine; returns whether the store took it.
+    /// Writes or removes the record of a quarantined request; returns whether the store accepted
+    /// the change.
     std::function<Http::Task<bool>(std::string print, std::optional<std::string> record)>
         writeQuarantine_;
-    /// Returns all such records, by print.
+    /// Returns the records of all quarantined requests, by fingerprint.
     std::function<Http::Task<std::optional<std::map<std::string, std::string>>>()> readQuarantines_;
 
-    /// Reads the operators' rows. Nothing, with the last reason set, if they cannot be understood
-    /// or nothing was written yet.
+    /// Parses the operators' rows. Returns std::nullopt, with the last reason set, if they are
+    /// invalid or there are none yet.
     std::function<std::optional<OperatorRows>(const std::vector<Platform::StoredRow> &)>
         decodeOperators_;
-    /// Reads one target's row. Nothing, with the last reason set, if it cannot be understood.
+    /// Parses one target's row. Returns std::nullopt, with the last reason set, if it is invalid.
     std::function<std::optional<Model::TargetRecord>(const Platform::StoredRow &)> decodeTarget_;
 
-    /// Reads a caller's question which entries it may use. Nothing, with the last reason set, if it
-    /// is no such question.
+    /// Parses a caller's look-up of entries. Returns std::nullopt, with the last reason set, if the
+    /// request is not a valid look-up.
     std::function<std::optional<Policy::LookupQuery>(const Http::Request &)> readLookup_;
-    /// Returns the answer that names \a entries for a time.
+    /// Returns the answer that lists \a entries, which callers may cache for \a life.
     std::function<Http::Response(const std::vector<Model::Instance> &entries,
                                  Model::Milliseconds life)>
         lookupAnswer_;
-    /// Tells whether a request asks if callers may be sent here.
+    /// Tells whether a request is a readiness probe.
     std::function<bool(const Http::Request &)> asksReadiness_;
 
-    /// Reads the load report in a target's answer, if there is one.
+    /// Parses the load report in a target's answer, if there is one.
     std::function<std::optional<LoadReport>(const Http::Response &)> loadIn_;
 
     HeaderNames headers_;
--- a/Libraries/LibSteering/StoreFollower.cpp
+++ b/Libraries/LibSteering/StoreFollower.cpp
@@ -11,26 +11,26 @@
 
 namespace {
 
-/// How long one call waits for news. A connection that went silent for good shows no later than
-/// this; a shorter time costs calls of which each is paid for.
+/// How long one call waits for changes. A connection that is permanently silent is detected within
+/// this time; a shorter time costs more calls, each of which is billed.
 constexpr Milliseconds longestWait{8000};
 
-/// The same at the first reader of a region.
+/// The same at the first reader of a region, from which the other instances receive changes.
 ///
-/// What goes wrong without it: the store falls silent for a few seconds. Calls that wait there are
-/// never answered, so a configuration or a target's leave that is accepted just after its return is
-/// not known before they end, up to eight seconds after the silence began; where a change had made
-/// all instances ask at the same moment, at none of them. The others learn it from this one.
+/// Without the shorter time, a store that is silent for a few seconds never answers the calls that
+/// wait there. A configuration or a target's leaving that it accepts just after its return stays
+/// unknown until these calls end, up to eight seconds after the silence began; if a change had made
+/// all instances call at the same moment, it stays unknown to all of them.
 constexpr Milliseconds firstReadersWait{2000};
 
-/// News of the operators' table is gathered for less time than that of targets: it is rare.
+/// Changes of the operators' table are batched for less time than those of targets: they are rare.
 constexpr Milliseconds gatherOperators{50};
 
-/// How often an instance that does not read the store asks itself whether it should.
+/// Interval at which an instance that does not read the store checks whether it should.
 constexpr Milliseconds idlePause{200};
 
 constexpr Milliseconds firstPause{150};
-/// With the time of a call that is not answered (0.8 s) the store is found back within 1.3 s.
+/// Together with the timeout of an unanswered call (0.8 s) a returned store is found within 1.3 s.
 constexpr Milliseconds longestPause{500};
 
 Milliseconds pauseAfter(int failures)
@@ -86,7 +86,8 @@
     return standing;
 }
 
-/// Whoever was turned away goes on asking until it is served, so that the others know.
+/// An instance whose call has failed continues to call until one succeeds, so that its peers learn
+/// of the outage and of its end.
 bool StoreFollower::shouldAsk(StoreTable table, const Progress &progress) const
 {
     return rank_() != Policy::ReaderRank::None || progress.failures_ > 0
@@ -148,9 +149,9 @@
     }
 }
 
-/// How long the next call may wait for news. After a failure, and when it begins to ask, it only
-/// asks whether the store is there: a call that is sent a moment before the store's return is never
-/// answered, however long it waits.
+/// How long the next call may wait for changes. After a failure, and when this instance begins to
+/// read the store, the call returns at once and only tests whether the store answers: a call that
+/// is sent a moment before the store's return is never answered, however long it waits.
 Milliseconds StoreFollower::waitFor(const Progress &progress) const
 {
     if (!progress.answeredSince_ || progress.asksAnew_)
@@ -200,7 +201,7 @@
     progress.asksAnew_ = false;
     Http::ExchangeControl control;
     progress.waitingSince_ = std::chrono::steady_clock::now();
-    // One that only asks whether there is news ends soon by itself.
+    // A call that does not wait ends soon by itself.
     progress.waiting_ = wait.count() > 0 ? &control : nullptr;
     const auto changes = co_await port_.awaitChanges_(table, position, wait, control);
     progress.waiting_ = nullptr;
--- a/Libraries/LibSteering/StoreFollower.h
+++ b/Libraries/LibSteering/StoreFollower.h
@@ -6,14 +6,14 @@
 
 namespace Steering {
 
-/// Keeps the knowledge in step with the platform's store: reads each table whole once, then waits
-/// for changes while this instance is one of those that read the store.
+/// Keeps the platform state in step with the platform's store: reads each table whole once, then
+/// waits for changes while this instance is one of the store readers.
 ///
 /// Thread safety: none; runs on one thread's io_context, which must end before the object does.
 class StoreFollower
 {
 public:
-    /// \a changed is called after anything was taken in, \a rank asked before each call.
+    /// Calls \a changed after recording any rows, and \a rank before each call to the store.
     StoreFollower(Http::asio::io_context &context, const PlatformPort &port, Knowledge &knowledge,
                   Observe::DecisionLog &log, std::function<void()> changed,
                   std::function<Policy::ReaderRank()> rank);
@@ -21,38 +21,39 @@
     void start();
     void stop() { isStopping_ = true; }
 
-    /// How this instance stands with the store, by its latest calls.
+    /// This instance's contact with the store, as of its latest calls.
     Policy::StoreContact contact() const;
-    /// The same, with since when and up to where the store has told this instance.
+    /// The same, with the time since which the store has answered and the revision that it has
+    /// sent.
     Policy::StoreStanding standing() const;
-    /// Tells whether the call for a table has waited for news since \a time or longer.
+    /// Tells whether the call for a table has waited for changes since \a time or longer.
     bool hasWaitedSince(StoreTable table, Model::SteadyTime time) const;
-    /// Ends the call that waits for a table's news, and asks the store anew at once: peers know of
-    /// news that the call should have brought.
+    /// Cancels the call that waits for a table's changes and sends a new one at once. Called when
+    /// peers have changes that the waiting call should have returned.
     void askAnew(StoreTable table);
     /// When a call for a table last succeeded.
     Model::SteadyTime confirmedAt(StoreTable table) const;
 
 private:
-    /// What became of following one table.
+    /// The state of following one table.
     struct Progress
     {
         bool isReached_ = false;
         bool isAsking_ = true;
         bool needsAll_ = true;
         Model::SteadyTime confirmedAt_ = Model::longAgo;
-        /// Since when each call was answered; nothing while none was since one failed, or since
-        /// this instance began to ask.
+        /// Since when every call has been answered; std::nullopt while no call has been answered
+        /// since one failed or since this instance began to read the store.
         std::optional<Model::SteadyTime> answeredSince_;
-        /// When a call was answered after one had failed.
+        /// When a call was last answered after a failed one.
         Model::SteadyTime returnedAt_ = Model::longAgo;
-        /// Everything up to this revision was told by the store itself.
+        /// The store itself has sent all changes up to this revision.
         Platform::Revision readUpTo_;
         int failures_ = 0;
-        /// The call that waits for news, and since when; nothing while none does.
+        /// The call that waits for changes, and since when; nullptr while none does.
         Http::ExchangeControl *waiting_ = nullptr;
         Model::SteadyTime waitingSince_;
-        /// The call before was taken for dead.
+        /// The previous call was considered failed and cancelled.
         bool asksAnew_ = false;
     };
 
--- a/Services/Instanced/main.cpp
+++ b/Services/Instanced/main.cpp
@@ -7,7 +7,7 @@
 int main(int argc, char **argv)
 {
     std::signal(SIGPIPE, SIG_IGN);
-    // The settings are about to be read; from the start of the instance on they are read again.
+    // SIGHUP is ignored until the started instance handles it by reloading the settings.
     std::signal(SIGHUP, SIG_IGN);
     const char *usualPath = std::getenv(Adapter::settingsVariable);
     const auto start = Observe::startDaemon(
--- a/Tests/LibSteering/TestKnowledge.cpp
+++ b/Tests/LibSteering/TestKnowledge.cpp
@@ -46,16 +46,16 @@
                 Fakes::target("c", "gauging", "s-a", 1), Fakes::target("d", "gauging", "t-b", 1)};
     }
 
-    // Symptom: an accepted edit is taken back at one instance.
-    // Sequence: the store's answer is refused here, and a peer that lags offers what it holds.
-    // Cause: taking whatever was heard last for the newest.
+    // Guards against the loss of an accepted edit at one instance: the store's answer is refused
+    // here, a peer that is behind offers its older table, and the last table received replaces the
+    // newest.
     void lowerVersionIsNeverApplied()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
         brain.tellOperators(5, 10);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
-        // A lower version in a newer row is refused too.
+        // A lower version in a newer row is also refused.
         brain.tellOperators(6, 30);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
     }
@@ -88,9 +88,8 @@
         CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer(R"({"operators":{"rows":3}})", "peer"));
     }
 
-    // Symptom: instances crash one after the other, each when a peer asks it for rows.
-    // Sequence: another program writes a registration that is no text; an instance reads it.
-    // Cause: rows told as JSON, which cannot hold such bytes.
+    // Guards against instances that crash one after the other, each when a peer requests its rows:
+    // another program has written a registration that is not valid text, which JSON cannot encode.
     void rowsThatAreNoTextReachPeers()
     {
         Brain informed("r-a");
@@ -106,9 +105,9 @@
         CPPUNIT_ASSERT_EQUAL(std::string("\xff\x00\xc3", 3), *rows.at("e").value_);
     }
 
-    // Symptom: instances ask each other for rows ten times a second on a calm day.
-    // Sequence: two read the store at different moments; nothing changes.
-    // Cause: comparing the revisions at which they read.
+    // Guards against instances that request rows from each other ten times a second although
+    // nothing changes: two read the store at different moments, and the revisions of these reads
+    // are compared.
     void whoeverKnowsTheSameLacksNothing()
     {
         const auto lastChanges = [](const Brain &brain) {
@@ -132,10 +131,8 @@
         CPPUNIT_ASSERT(!early.knowledge_.lacks(lastChanges(late)));
     }
 
-    // Symptom: a target that left is used again.
-    // Sequence: a call waits at the store; a peer tells of its leaving; the call's late answer
-    // holds the older row.
-    // Cause: taking in an answer whose revision is behind what is known.
+    // Guards against using a target again that has left: while a call waits at the store, a peer
+    // reports the leaving; the call's late answer, at an older revision, has the older row.
     void feedThatOvertakesAPeerIsIgnored()
     {
         Brain brain("r-a");
@@ -171,10 +168,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    // Symptom: after an outage of the store every request is refused for two seconds.
-    // Sequence: the store is away longer than registrations last; it returns without them; the
-    // targets, which never stopped, register again within two seconds.
-    // Cause: taking a missing registration for a departure.
+    // Guards against refusing every request for two seconds after a store outage: the outage
+    // outlasts the registrations' time to live, the store returns without them, and the targets,
+    // which never stopped, register again within two seconds. An expired registration is not a
+    // departure.
     void lapsedTargetsAreUsedUntilTheyAreBack()
     {
         Brain brain("r-a");
@@ -194,9 +191,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
     }
 
-    // Symptom: requests are sent to a target that left during an outage of the store.
-    // Sequence: as above, but one target does not register again.
-    // Cause: waiting for it without an end.
+    // Guards against sending requests to a target that left during a store outage: as above, but
+    // one target does not register again, and the wait for it has no limit.
     void lapsedTargetsThatStayAwayAreDropped()
     {
         Brain brain("r-a");
@@ -214,10 +210,10 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    // Symptom: a request reaches a target 2.52 s after the store took its leave; the bound is 2.5
-    // s. Sequence: three targets go at the same moment without announcing it; the store never
-    // failed; the news is gathered for half a second. Cause: two seconds of grace for what looks
-    // like a lapse, on top of the time that news takes.
+    // Guards against a request that reaches a target 2.52 s after the store recorded its removal;
+    // the limit is 2.5 s. Three targets unregister at the same moment without announcing it, the
+    // store has not failed, and changes are batched for half a second. Two seconds of grace for
+    // apparently expired registrations, on top of the propagation time, exceed the limit.
     void targetsThatLeaveTogetherOnACalmDayGetNothingInTime()
     {
         Brain brain("r-a");
@@ -232,7 +228,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
     }
 
-    // Guards against a grace that begins when the news comes, where peers have noticed before.
+    // Guards against a grace period that begins when the update arrives, although peers have
+    // noticed the removal before.
     void lateNewsOfRemovalsDoesNotProlongTheirUse()
     {
         Brain brain("r-a");
@@ -248,7 +245,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
     }
 
-    // Guards against a lapse that is cut short by what was noticed of one before it.
+    // Guards against a grace period that is shortened by the age of an earlier removal.
     void registrationThatIsBackIsNoOldRemoval()
     {
         Brain brain("r-a");
@@ -273,8 +270,8 @@
         CPPUNIT_ASSERT(Steering::removalsFromPeer("damaged").empty());
     }
 
-    // Symptom, sequence and cause as above, where the store failed three seconds before: by then
-    // every target that lives has registered again.
+    // The same case three seconds after a store failure: by then every running target has
+    // registered again, so a missing one gets no grace period.
     void outageOfLongAgoIsNoLapse()
     {
         Brain brain("r-a");
@@ -289,7 +286,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    // Guards against a lapse's grace that starts with the news of a removal, not the store's
+    // Guards against a grace period that starts with the update on a removal, not with the store's
     // return.
     void targetThatLeavesAfterTheStoreReturnedGetsNothingInTime()
     {
--- a/Tests/LibSteering/TestPeers.cpp
+++ b/Tests/LibSteering/TestPeers.cpp
@@ -54,7 +54,7 @@
             }
             Mirror mirror;
             mirror.replace(rows(0, {}));
-            // Peers and the store tell pieces of the history, some twice, in any order.
+            // Peers and the store send parts of the history, some twice, in any order.
             const int pieces = *rc::gen::inRange(1, 10);
             for (int i = 0; i < pieces; ++i) {
                 const auto from = static_cast<std::size_t>(*rc::gen::inRange(0, changes));
@@ -85,13 +85,12 @@
         peer.apply(*changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), peer.rows().size());
         CPPUNIT_ASSERT(!peer.rows().contains("a"));
-        // What went before the rows were read whole is not known.
+        // Removals before the full read are not known.
         CPPUNIT_ASSERT(!mirror.changesSince(Revision(9)));
     }
 
-    // Symptom: a target that left is used again.
-    // Sequence: a peer's answer that was made before the removal arrives after it.
-    // Cause: remembering nothing of what was removed.
+    // Guards against using a target again that has left: a peer's answer from before the removal
+    // arrives after it, and the removal is not remembered.
     void removalIsNotUndoneByAnOlderRow()
     {
         Mirror mirror;
@@ -103,10 +102,9 @@
         CPPUNIT_ASSERT(mirror.rows().contains("a"));
     }
 
-    // Symptom: when the store forgets its history, a hundred peers fetch all rows from the few that
-    //   read it: a megabyte each.
-    // Sequence: a reader reads everything anew; its peers ask what changed.
-    // Cause: taking all that was read for new, and what was removed before for unknown.
+    // Guards against a hundred peers that fetch all rows, a megabyte each, from the few store
+    // readers when the store has lost its history: a reader reads all rows again, its peers request
+    // changes, and all rows are considered changed and earlier removals unknown.
     void rowsReadAnewAreTheSameAsChanges()
     {
         Mirror mirror;
@@ -121,7 +119,7 @@
         peer.apply(*changes);
         CPPUNIT_ASSERT(!peer.rows().contains("a"));
         CPPUNIT_ASSERT(peer.rows().contains("c"));
-        // Nothing new: nobody is told to ask.
+        // No changes: no peer is made to request rows.
         const auto before = mirror.lastChange();
         mirror.replace(rows(30, {present("b", 9), present("c", 15)}));
         CPPUNIT_ASSERT(mirror.lastChange() == before);
@@ -232,7 +230,7 @@
         CPPUNIT_ASSERT(Model::lastReason().code_ == Model::ResultCode::PeerMessageUnreadable);
     }
 
-    // Guards against refusing messages that lack what a later version added.
+    // Guards against refusing messages without the fields that a later version has added.
     void messagesOfAnEarlierVersionAreRead()
     {
         auto text = nlohmann::json::from_msgpack(
@@ -249,8 +247,8 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), read->sender_.pulse_.targetsRead_);
     }
 
-    // Symptom: instances that tell of each other fill a link of 10 Mbit/s.
-    // Sequence: none; the fleet grows. Cause: whole records in every message.
+    // Guards against gossip that fills a link of 10 Mbit/s as the fleet grows, because every
+    // message has full member records.
     void pulsesAreSmall()
     {
         PeerMessage message{someMember("front-koper-a-1"), {}, {}};
