--- a/Libraries/LibSteering/Instance.cpp
+++ b/Libraries/LibSteering/Instance.cpp
@@ -15,22 +15,22 @@
 namespace {
 
 /// Interval between refreshes of idle connections, which get too old within a second.
-constexpr Milliseconds sparesPause{500};
+constexpr Milliseconds idleRefreshInterval{500};
 
 /// CLOCK_BOOTTIME gets ahead of CLOCK_MONOTONIC by more than this only while the process is
 /// suspended.
-constexpr Microseconds standstill{300000};
+constexpr Microseconds suspendThreshold{300000};
 
 /// Durations of the steps of a graceful stop: spreading the leaving state to peers and callers,
 /// then still accepting connections. Together with the longest request they stay below the time
 /// after which the platform kills the process.
-constexpr Milliseconds spreadTime{1700};
-constexpr Milliseconds acceptTime{800};
-constexpr Milliseconds stopStep{20};
+constexpr Milliseconds leavingSpreadTime{1700};
+constexpr Milliseconds leavingAcceptTime{800};
+constexpr Milliseconds stopPollInterval{20};
 /// The process exits at least this long before the platform would kill it.
-constexpr Milliseconds stopReserve{400};
+constexpr Milliseconds stopMargin{400};
 
-Microseconds gapBetweenClocks()
+Microseconds clockGap()
 {
     timespec boot{};
     timespec steady{};
@@ -79,22 +79,22 @@
         return false;
     }
     startedAt_ = steadyNow();
-    clockGap_ = gapBetweenClocks();
+    clockGap_ = clockGap();
     log_.line(Event::Started)
         .add("instance", settings_.instance_.value())
         .add("domain", settings_.domain_.value())
         .add("region", settings_.region_.value());
-    parts_->peers_.setKnowledgeChanged([this] {
-        knowledgeChanged();
+    parts_->peers_.setStateChangedCallback([this] {
+        platformStateChanged();
     });
-    parts_->peers_.setLoadNews(
+    parts_->peers_.setLoadExchange(
         [this] {
             return parts_->book_.loadsToTell(steadyNow());
         },
         [this](const auto &loads) {
             parts_->book_.hearLoads(loads, steadyNow());
         });
-    parts_->peers_.setCrashNews(
+    parts_->peers_.setCrashExchange(
         [this] {
             return parts_->guard_.news(steadyNow());
         },
@@ -106,9 +106,9 @@
             return parts_->follower_.hasWaitedSince(table, time);
         },
         [this](StoreTable table) {
-            parts_->follower_.askAnew(table);
+            parts_->follower_.restartWaitingCall(table);
         });
-    parts_->peers_.setRemovalNews(
+    parts_->peers_.setRemovalExchange(
         [this] {
             return parts_->book_.removalsToTell(steadyNow());
         },
@@ -117,14 +117,14 @@
         });
     parts_->dispatcher_.setTargetsNews([this] {
         return TargetsNews{parts_->follower_.confirmedAt(StoreTable::Targets),
-                           parts_->peers_.informedAt()};
+                           parts_->peers_.upToDateAt()};
     });
     parts_->follower_.start();
-    awaitSignal();
+    waitForSignal();
     Observe::takeStopSignals();
     Http::asio::co_spawn(context_, tickLoop(), Http::asio::detached);
-    Http::asio::co_spawn(context_, introduce(), Http::asio::detached);
-    Http::asio::co_spawn(context_, keepQuarantines(), Http::asio::detached);
+    Http::asio::co_spawn(context_, discoverInstances(), Http::asio::detached);
+    Http::asio::co_spawn(context_, syncQuarantines(), Http::asio::detached);
     return true;
 }
 
@@ -138,7 +138,7 @@
     log_.flush();
 }
 
-void Instance::awaitSignal()
+void Instance::waitForSignal()
 {
     signals_.async_wait([this](const Http::ErrorCode &error, int signal) {
         if (error)
@@ -147,9 +147,9 @@
             reload();
         } else if (!isStopping_) {
             isStopping_ = true;
-            Http::asio::co_spawn(context_, stopGently(), Http::asio::detached);
+            Http::asio::co_spawn(context_, stopGracefully(), Http::asio::detached);
         }
-        awaitSignal();
+        waitForSignal();
     });
 }
 
@@ -158,35 +158,35 @@
     while (true) {
         co_await Http::sleepFor(Policy::tickPeriod);
         const auto now = steadyNow();
-        checkClocks();
+        detectSuspend();
         parts_->peers_.setStoreStanding(parts_->follower_.standing());
-        parts_->peers_.lookForNews();
+        parts_->peers_.fetchIfBehind();
         parts_->book_.dropMissing(now, parts_->peers_.storeEvidence());
         parts_->dispatcher_.sweepAbandoned();
         parts_->guard_.judge(now);
-        if (now - sparesSeenAt_ >= sparesPause) {
-            sparesSeenAt_ = now;
+        if (now - idleRefreshedAt_ >= idleRefreshInterval) {
+            idleRefreshedAt_ = now;
             parts_->dispatcher_.refreshSpares(parts_->book_);
         }
-        countEntries();
+        updateEntryCounts();
         updateReadiness();
         log_.flush();
     }
 }
 
-void Instance::checkClocks()
+void Instance::detectSuspend()
 {
-    const auto gap = gapBetweenClocks();
-    if (gap - clockGap_ > standstill) {
+    const auto gap = clockGap();
+    if (gap - clockGap_ > suspendThreshold) {
         log_.line(Event::ClockGap).add("stood_still_ms", gap - clockGap_);
-        parts_->peers_.forgetAges();
+        parts_->peers_.markMembersUnconfirmed();
         parts_->dispatcher_.dropAllIdleConnections(parts_->book_);
         storePool_.dropIdle(store_.address_);
     }
     clockGap_ = gap;
 }
 
-void Instance::countEntries()
+void Instance::updateEntryCounts()
 {
     const auto &table = parts_->knowledge_.table();
     if (!table)
@@ -203,18 +203,18 @@
     parts_->dispatcher_.setInstances(all);
 }
 
-void Instance::knowledgeChanged()
+void Instance::platformStateChanged()
 {
     auto &knowledge = parts_->knowledge_;
-    if (tableSeen_ != knowledge.tableChanges()) {
-        tableSeen_ = knowledge.tableChanges();
+    if (seenTableChanges_ != knowledge.tableChanges()) {
+        seenTableChanges_ = knowledge.tableChanges();
         parts_->placer_.tableChanged();
         parts_->entry_.setLimits(entryLimits(knowledge.table()->callerLimits()));
     }
     parts_->peers_.setStoreStanding(parts_->follower_.standing());
     parts_->book_.update(steadyNow(), parts_->peers_.storeEvidence());
     parts_->dispatcher_.dropIdleConnections(parts_->book_.takeRestarted());
-    countEntries();
+    updateEntryCounts();
     updateReadiness();
     parts_->peers_.announce();
 }
@@ -251,16 +251,16 @@
         .add("needs_restart", needsRestart ? "yes" : "no");
 }
 
-Task<void> Instance::stopGently()
+Task<void> Instance::stopGracefully()
 {
-    const auto endAt = steadyNow() + port_.terms_.stopGrace_ - stopReserve;
+    const auto endAt = steadyNow() + port_.terms_.stopGrace_ - stopMargin;
     log_.line(Event::StopRequested)
         .add("in_progress", static_cast<std::int64_t>(parts_->dispatcher_.inProgress()));
     // Callers are no longer directed here; requests that still arrive are served.
     updateReadiness();
     parts_->peers_.setLeaving();
     parts_->entry_.beginLeaving();
-    if (isIntroduced_) {
+    if (isRecordStored_) {
         Http::asio::co_spawn(
             context_,
             [](const PlatformPort &port, std::string id) -> Task<void> {
@@ -268,15 +268,15 @@
             }(port_, settings_.instance_.value()),
             Http::asio::detached);
     }
-    co_await Http::sleepFor(spreadTime);
+    co_await Http::sleepFor(leavingSpreadTime);
     parts_->entry_.closeIdle();
-    co_await Http::sleepFor(acceptTime);
+    co_await Http::sleepFor(leavingAcceptTime);
     parts_->entry_.stopAccepting();
     while (steadyNow() < endAt) {
         parts_->entry_.closeIdle();
         if (parts_->entry_.openSessions() == 0)
             break;
-        co_await Http::sleepFor(stopStep);
+        co_await Http::sleepFor(stopPollInterval);
     }
     context_.stop();
 }
--- a/Libraries/LibSteering/Instance.h
+++ b/Libraries/LibSteering/Instance.h
@@ -35,21 +35,21 @@
     struct Parts;
 
     Http::Task<void> tickLoop();
-    Http::Task<void> introduce();
+    Http::Task<void> discoverInstances();
     Http::Task<bool> writeOwnRecord();
     Http::Task<void> readRecords();
-    Http::Task<void> keepQuarantines();
+    Http::Task<void> syncQuarantines();
     Http::Task<void> writeQuarantines();
-    void logInstancesLost();
-    Http::Task<void> stopGently();
+    void logRecordsUnavailable();
+    Http::Task<void> stopGracefully();
     Http::Task<Http::Response> answerLookup(Http::IncomingRequest request);
     Http::Task<Http::Response> answerReady(Http::IncomingRequest request);
     Http::Task<Http::Response> answerAdmin(Http::IncomingRequest request);
     Http::Response answerQuarantines(const Http::Request &request);
-    void awaitSignal();
-    void knowledgeChanged();
-    void countEntries();
-    void checkClocks();
+    void waitForSignal();
+    void platformStateChanged();
+    void updateEntryCounts();
+    void detectSuspend();
     void reload();
     void updateReadiness();
     std::string metricsText() const;
@@ -63,13 +63,13 @@
     Observe::DecisionLog log_;
     PlatformPort port_;
     std::unique_ptr<Parts> parts_;
-    std::uint64_t tableSeen_ = 0;
+    std::uint64_t seenTableChanges_ = 0;
     /// How far CLOCK_BOOTTIME, which advances during a suspend, is ahead of CLOCK_MONOTONIC.
     Model::Microseconds clockGap_{0};
-    Model::SteadyTime sparesSeenAt_ = Model::longAgo;
+    Model::SteadyTime idleRefreshedAt_ = Model::longAgo;
     bool isReady_ = false;
     /// The store holds this instance's record.
-    bool isIntroduced_ = false;
+    bool isRecordStored_ = false;
     bool isStopping_ = false;
     Model::SteadyTime startedAt_ = Model::longAgo;
 };
--- a/Libraries/LibSteering/InstanceAnswers.cpp
+++ b/Libraries/LibSteering/InstanceAnswers.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// How long callers may cache a look-up's answer.
-constexpr Milliseconds lookupLife{1500};
+constexpr Milliseconds lookupTtl{1500};
 /// A newly started instance lists no entries for this long unless it has contacted its peers.
-constexpr Milliseconds peerPatience{1500};
-constexpr std::size_t mostEntriesNamed = 64;
+constexpr Milliseconds peerContactTimeout{1500};
+constexpr std::size_t maxEntriesListed = 64;
 
 constexpr std::string_view quarantinesPath = "/quarantines";
 
@@ -31,19 +31,21 @@
     if (!query)
         co_return Http::refusal(Model::lastReason(), version);
     const auto now = steadyNow();
-    const bool hasHeard = parts_->peers_.hasAsked() || now - startedAt_ > peerPatience;
+    const bool hasPeerView
+        = parts_->peers_.hasContactedPeers() || now - startedAt_ > peerContactTimeout;
     std::vector<Policy::EntryCandidate> candidates;
     for (const auto &[id, member] : parts_->peers_.members()) {
-        candidates.push_back(
-            {member.instance_, member.pulse_.isReady_ && Policy::isAlive(member, now) && hasHeard});
+        candidates.push_back({member.instance_, member.pulse_.isReady_
+                                                    && Policy::isAlive(member, now)
+                                                    && hasPeerView});
         candidates.back().instance_.isLeaving_ = member.pulse_.isLeaving_;
     }
     auto entries = Policy::entriesOfRegion(*query, candidates);
     if (entries.empty())
         co_return Http::refusal({Model::ResultCode::NotReady, ""}, version);
-    if (entries.size() > mostEntriesNamed)
-        entries.resize(mostEntriesNamed);
-    co_return port_.lookupAnswer_(entries, std::min(lookupLife, port_.terms_.longestLookupLife_));
+    if (entries.size() > maxEntriesListed)
+        entries.resize(maxEntriesListed);
+    co_return port_.lookupAnswer_(entries, std::min(lookupTtl, port_.terms_.longestLookupLife_));
 }
 
 Task<Http::Response> Instance::answerReady(Http::IncomingRequest request)
@@ -70,8 +72,8 @@
                                version);
 }
 
-/// GET lists the quarantines; DELETE of /quarantines/PRINT releases one here and, by gossip, on all
-/// instances.
+/// GET lists the quarantines; DELETE of /quarantines/FINGERPRINT releases one here and, by gossip,
+/// on all instances.
 Http::Response Instance::answerQuarantines(const Http::Request &request)
 {
     const auto now = steadyNow();
@@ -82,9 +84,9 @@
     }
     if (request.method() != http::verb::delete_ || target.size() <= quarantinesPath.size())
         return Http::refusal({Model::ResultCode::MalformedRequest, ""}, request.version());
-    const auto print
+    const auto fingerprint
         = Policy::printFromText(std::string_view(target).substr(quarantinesPath.size() + 1));
-    if (!print || !parts_->guard_.lift(*print, now))
+    if (!fingerprint || !parts_->guard_.lift(*fingerprint, now))
         return Http::refusal(Model::lastReason(), request.version());
     return Http::textAnswer(http::status::ok, "application/json", parts_->guard_.listText(now),
                             request.version());
--- a/Libraries/LibSteering/InstanceMetrics.cpp
+++ b/Libraries/LibSteering/InstanceMetrics.cpp
@@ -69,7 +69,7 @@
              contact == Policy::StoreContact::Refused ? 0 : 1);
     for (const auto table : {StoreTable::Operators, StoreTable::Targets}) {
         const auto confirmedAt
-            = std::max(parts_->follower_.confirmedAt(table), parts_->peers_.informedAt());
+            = std::max(parts_->follower_.confirmedAt(table), parts_->peers_.upToDateAt());
         text.add("cassiacrank_knowledge_age_seconds",
                  "Since the store or the peers confirmed a table.", "gauge",
                  Model::inSeconds(now - confirmedAt),
--- a/Libraries/LibSteering/InstanceParts.cpp
+++ b/Libraries/LibSteering/InstanceParts.cpp
@@ -10,7 +10,7 @@
 constexpr std::size_t pipelineDepth = 16;
 /// Added to the table's idle limit, so that a caller that keeps the limit does not use a connection
 /// at the moment it is closed.
-constexpr Milliseconds idleSlack{2000};
+constexpr Milliseconds idleTimeoutMargin{2000};
 
 } // namespace
 
@@ -19,7 +19,7 @@
     Http::ServerLimits result;
     result.headBytes_ = limits.headBytes_;
     result.bodyBytes_ = limits.bodyBytes_;
-    result.idle_ = limits.idle_ + idleSlack;
+    result.idle_ = limits.idle_ + idleTimeoutMargin;
     result.request_ = limits.request_;
     result.pipelineDepth_ = pipelineDepth;
     return result;
@@ -35,7 +35,7 @@
     , follower_(
           instance.context_, instance.port_, knowledge_, instance.log_,
           [&instance] {
-              instance.knowledgeChanged();
+              instance.platformStateChanged();
           },
           [this] {
               return peers_.readerRank();
--- a/Libraries/LibSteering/InstanceRecords.cpp
+++ b/Libraries/LibSteering/InstanceRecords.cpp
@@ -11,19 +11,19 @@
 
 /// Interval between checks for whether other instances have to be discovered through the store. A
 /// gossip round with the seeds completes within it.
-constexpr Milliseconds introductionPause{500};
+constexpr Milliseconds discoveryInterval{500};
 /// Before this age, instances that start together all consider themselves store readers.
-constexpr Milliseconds settlingTime{3000};
+constexpr Milliseconds readerSettlingTime{3000};
 /// Intervals between two reads of the instances' records: while no other instance is alive, and
 /// while some region has no live instance. Regions that lose contact for an hour rediscover each
 /// other through these records.
-constexpr Milliseconds pauseWhileAlone{2000};
-constexpr Milliseconds pauseWhileApart{30000};
+constexpr Milliseconds readIntervalWhileAlone{2000};
+constexpr Milliseconds readIntervalWhilePartitioned{30000};
 
 /// How long a newly started instance waits for the list of quarantined requests when neither the
 /// store nor a ready peer sends it; and the interval between two attempts to read or write it.
-constexpr Milliseconds quarantinePatience{1500};
-constexpr Milliseconds quarantinePause{300};
+constexpr Milliseconds quarantineReadTimeout{1500};
+constexpr Milliseconds quarantineInterval{300};
 
 SteadyTime steadyNow()
 {
@@ -39,21 +39,21 @@
 
 /// Discovers other instances through the store where the seeds lead to none, and registers this one
 /// there if it is a store reader: the readers' records suffice for discovery.
-Task<void> Instance::introduce()
+Task<void> Instance::discoverInstances()
 {
     auto readAt = startedAt_;
     while (!isStopping_) {
-        co_await Http::sleepFor(introductionPause);
+        co_await Http::sleepFor(discoveryInterval);
         const auto now = steadyNow();
-        const bool isAlone = !parts_->peers_.knowsAnyone();
+        const bool isAlone = !parts_->peers_.hasLivePeer();
         const bool isReader = parts_->follower_.contact() == Policy::StoreContact::Reached;
-        const bool isSettled = now - startedAt_ > settlingTime;
-        if (!isIntroduced_ && isReader && (isAlone || isSettled)) {
-            isIntroduced_ = co_await writeOwnRecord();
+        const bool isSettled = now - startedAt_ > readerSettlingTime;
+        if (!isRecordStored_ && isReader && (isAlone || isSettled)) {
+            isRecordStored_ = co_await writeOwnRecord();
         }
-        const auto pause = isAlone ? pauseWhileAlone : pauseWhileApart;
-        const bool isDue = now - readAt > pause || (isAlone && readAt == startedAt_);
-        if (isDue && (isAlone || !parts_->peers_.knowsEveryRegion())) {
+        const auto interval = isAlone ? readIntervalWhileAlone : readIntervalWhilePartitioned;
+        const bool isDue = now - readAt > interval || (isAlone && readAt == startedAt_);
+        if (isDue && (isAlone || !parts_->peers_.hasLiveMemberInEveryRegion())) {
             readAt = now;
             co_await readRecords();
         }
@@ -63,9 +63,9 @@
 Task<bool> Instance::writeOwnRecord()
 {
     const bool isWritten
-        = co_await port_.writeInstance_(settings_.instance_.value(), parts_->peers_.ownRecord());
+        = co_await port_.writeInstance_(settings_.instance_.value(), parts_->peers_.localRecord());
     if (!isWritten)
-        logInstancesLost();
+        logRecordsUnavailable();
     co_return isWritten;
 }
 
@@ -73,14 +73,14 @@
 {
     const auto records = co_await port_.readInstances_();
     if (!records) {
-        logInstancesLost();
+        logRecordsUnavailable();
         co_return;
     }
     for (const auto &record : *records)
         parts_->peers_.addRecord(record);
 }
 
-void Instance::logInstancesLost()
+void Instance::logRecordsUnavailable()
 {
     log_.line(Event::StoreLost)
         .add("table", "instances")
@@ -92,7 +92,7 @@
 ///
 /// Without the store, when all instances are killed at the same time, none knows which requests
 /// have crashed targets, and the same requests crash targets again.
-Task<void> Instance::keepQuarantines()
+Task<void> Instance::syncQuarantines()
 {
     while (!parts_->guard_.isInformed()) {
         const auto records = co_await port_.readQuarantines_();
@@ -101,12 +101,12 @@
             break;
         }
         log_.line(Event::QuarantinesUnread).add("reason", toText(Model::lastReason()));
-        if (steadyNow() - startedAt_ > quarantinePatience)
+        if (steadyNow() - startedAt_ > quarantineReadTimeout)
             parts_->guard_.setInformed();
-        co_await Http::sleepFor(quarantinePause);
+        co_await Http::sleepFor(quarantineInterval);
     }
     while (!isStopping_) {
-        co_await Http::sleepFor(quarantinePause);
+        co_await Http::sleepFor(quarantineInterval);
         co_await writeQuarantines();
     }
 }
--- a/Libraries/LibSteering/Knowledge.cpp
+++ b/Libraries/LibSteering/Knowledge.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 /// Start time of a drain that an operator has requested without a time: it is in force at once.
-constexpr const char *longAgo = "2000-01-01T00:00:00Z";
+constexpr const char *alwaysInForce = "2000-01-01T00:00:00Z";
 
 /// Upper limit for the age of a removal that a peer reports.
-constexpr std::uint64_t longestAgeMs = 60000;
+constexpr std::uint64_t maxRemovalAgeMs = 60000;
 
 json toJson(const Platform::StoredRows &rows, bool isWhole)
 {
@@ -28,7 +28,7 @@
 json jsonFor(const Mirror &mirror, Platform::Revision held)
 {
     const auto changes = mirror.changesSince(held);
-    return changes ? toJson(*changes, false) : toJson(mirror.everything(), true);
+    return changes ? toJson(*changes, false) : toJson(mirror.snapshot(), true);
 }
 
 /// Throws json::exception for input that toJson() has not written.
@@ -113,7 +113,7 @@
         row.key_ = {Model::RowKind::Domain, domain.value()};
         row.cells_["region"] = region.value();
         if (operators.drained_.contains(domain))
-            row.cells_["drain_start"] = longAgo;
+            row.cells_["drain_start"] = alwaysInForce;
         rows.push_back(std::move(row));
     }
     return rows;
@@ -139,7 +139,7 @@
         return;
     }
     // A table of 1,500 routes has two megabytes of rows, so they are moved and not copied.
-    auto drainedNow = decoded->drained_;
+    auto newDrained = decoded->drained_;
     const Model::TableVersion version = decoded->version_;
     auto built = Model::Table::build(version, allRows(std::move(*decoded)), {});
     if (!built) {
@@ -149,7 +149,7 @@
         return;
     }
     table_ = std::make_shared<const Model::Table>(std::move(*built));
-    drained_ = std::move(drainedNow);
+    drained_ = std::move(newDrained);
     ++tableChanges_;
     std::string drained;
     for (const auto &domain : drained_)
@@ -162,18 +162,18 @@
         .add("drained", drained);
 }
 
-HeldPositions Knowledge::held() const
+KnownRevisions Knowledge::knownRevisions() const
 {
     return {operators_.position(), targets_.position()};
 }
 
-bool Knowledge::lacks(const HeldPositions &lastChanges) const
+bool Knowledge::isBehind(const KnownRevisions &lastChanges) const
 {
     return lastChanges.operators_ > operators_.position()
            || lastChanges.targets_ > targets_.position();
 }
 
-RemovalAges removalsFromPeer(const std::string &text)
+RemovalAges parseRemovalAges(const std::string &text)
 {
     const json parsed = json::from_msgpack(text, true, false);
     RemovalAges ages;
@@ -181,18 +181,18 @@
         return ages;
     for (const auto &[id, age] : parsed["removals"].items()) {
         if (age.is_number_unsigned())
-            ages[id] = Model::Milliseconds(std::min(age.get<std::uint64_t>(), longestAgeMs));
+            ages[id] = Model::Milliseconds(std::min(age.get<std::uint64_t>(), maxRemovalAgeMs));
     }
     return ages;
 }
 
-std::string Knowledge::forPeer(const HeldPositions &held, const RemovalAges &removals) const
+std::string Knowledge::encodeForPeer(const KnownRevisions &known, const RemovalAges &removals) const
 {
     json text = json::object();
     if (operators_.isKnown())
-        text["operators"] = jsonFor(operators_, held.operators_);
+        text["operators"] = jsonFor(operators_, known.operators_);
     if (targets_.isKnown())
-        text["targets"] = jsonFor(targets_, held.targets_);
+        text["targets"] = jsonFor(targets_, known.targets_);
     for (const auto &[id, age] : removals)
         text["removals"][id] = static_cast<std::uint64_t>(age.count());
     // Unlike JSON, MessagePack carries any bytes: a row may hold bytes that are not valid text.
@@ -201,17 +201,17 @@
     return bytes;
 }
 
-bool Knowledge::takeFromPeer(const std::string &text, const std::string &peer)
+bool Knowledge::applyFromPeer(const std::string &text, const std::string &peer)
 {
     const json parsed = json::from_msgpack(text, true, false);
     if (!parsed.is_object()) {
         log_.line(Event::TableRefused)
             .add("source", peer)
-            .add("reason", "the peer's answer is not a MessagePack object");
+            .add("reason", "no MessagePack object in the peer's answer");
         return false;
     }
-    bool isNews = false;
-    const auto take = [&](StoreTable table, const char *name) {
+    bool hasChanges = false;
+    const auto applyTable = [&](StoreTable table, const char *name) {
         if (!parsed.contains(name))
             return;
         const auto rows = rowsFromJson(parsed[name]);
@@ -222,7 +222,7 @@
         // they are useless.
         if (!isNewer || (!isWhole && !held.isKnown()))
             return;
-        isNews = true;
+        hasChanges = true;
         log_.line(Event::KnowledgeFromPeer)
             .add("peer", peer)
             .add("table", name)
@@ -236,12 +236,12 @@
         }
     };
     try {
-        take(StoreTable::Operators, "operators");
-        take(StoreTable::Targets, "targets");
+        applyTable(StoreTable::Operators, "operators");
+        applyTable(StoreTable::Targets, "targets");
     } catch (const json::exception &error) {
         log_.line(Event::TableRefused).add("source", peer).add("reason", error.what());
     }
-    return isNews;
+    return hasChanges;
 }
 
 } // namespace Steering
--- a/Libraries/LibSteering/Knowledge.h
+++ b/Libraries/LibSteering/Knowledge.h
@@ -14,12 +14,12 @@
 /// removed, by target id.
 using RemovalAges = std::map<std::string, Model::Milliseconds>;
 
-/// Returns the ages in a text that Knowledge::forPeer() wrote; empty if there are none or they
-/// cannot be parsed. Thread safety: any thread.
-RemovalAges removalsFromPeer(const std::string &text);
+/// Returns the ages in a text that Knowledge::encodeForPeer() wrote; empty if there are none or
+/// they cannot be parsed. Thread safety: any thread.
+RemovalAges parseRemovalAges(const std::string &text);
 
 /// The revisions up to which an instance holds the tables; zero for a table that it does not hold.
-struct HeldPositions
+struct KnownRevisions
 {
     Platform::Revision operators_;
     Platform::Revision targets_;
@@ -53,21 +53,21 @@
     const std::string &targetsSource() const { return targetsSource_; }
 
     /// Returns the revisions up to which this instance holds the tables.
-    HeldPositions held() const;
+    KnownRevisions knownRevisions() const;
     /// Tells whether an instance whose last changes are these holds rows that are missing here.
     ///
     /// Compares a peer's last changes with the local revisions, up to which every change is known.
     /// If two revisions were compared, two instances that read the store at different moments of a
     /// quiet hour would differ while they hold the same rows, and the one with the lower revision
     /// would send the other useless requests ten times a second.
-    bool lacks(const HeldPositions &lastChanges) const;
-    /// Returns the rows that a peer at these revisions is missing, as a text that takeFromPeer()
+    bool isBehind(const KnownRevisions &lastChanges) const;
+    /// Returns the rows that a peer at these revisions is missing, as a text that applyFromPeer()
     /// reads: only the changes where they are known, else all rows. The text includes \a removals,
     /// because the time for which a missing target may be used begins when the first instance
     /// notices that it is missing, not the last.
-    std::string forPeer(const HeldPositions &held, const RemovalAges &removals = {}) const;
+    std::string encodeForPeer(const KnownRevisions &known, const RemovalAges &removals = {}) const;
     /// Records a peer's rows where they are newer. Returns whether any were.
-    bool takeFromPeer(const std::string &text, const std::string &peer);
+    bool applyFromPeer(const std::string &text, const std::string &peer);
 
 private:
     void operatorsChanged(std::string_view source);
--- a/Libraries/LibSteering/Mirror.cpp
+++ b/Libraries/LibSteering/Mirror.cpp
@@ -14,13 +14,13 @@
 
 /// Removed rows that are kept for peers that request changes: several times as many as a large site
 /// replaces in a day, at some dozen bytes each.
-constexpr std::size_t mostRemovals = 4096;
+constexpr std::size_t maxRememberedRemovals = 4096;
 
 } // namespace
 
 bool Mirror::replace(const StoredRows &rows)
 {
-    if (isKnown_ && rows.revision_ < position_)
+    if (isKnown_ && rows.revision_ < knownRevision_)
         return false;
     if (!isKnown_)
         removalsKnownSince_ = rows.revision_;
@@ -35,14 +35,14 @@
     }
     // A missing row was removed at some earlier revision. It gets the newest one, so that every
     // peer that requests changes later receives the removal.
-    std::vector<std::string> gone;
+    std::vector<std::string> removedKeys;
     for (const auto &[key, row] : rows_) {
         if (!present.contains(key))
-            gone.push_back(key);
+            removedKeys.push_back(key);
     }
-    for (const auto &key : gone)
+    for (const auto &key : removedKeys)
         remove(key, rows.revision_);
-    position_ = rows.revision_;
+    knownRevision_ = rows.revision_;
     isKnown_ = true;
     return true;
 }
@@ -88,8 +88,8 @@
 {
     for (const auto &row : changes.rows_)
         applyRow(row);
-    position_ = std::max(position_, changes.revision_);
-    if (removedAt_.size() > mostRemovals)
+    knownRevision_ = std::max(knownRevision_, changes.revision_);
+    if (removedAt_.size() > maxRememberedRemovals)
         forgetOldRemovals();
 }
 
@@ -111,7 +111,7 @@
     if (!isKnown_ || position < removalsKnownSince_)
         return std::nullopt;
     StoredRows changes;
-    changes.revision_ = position_;
+    changes.revision_ = knownRevision_;
     for (const auto &[key, row] : rows_) {
         if (row.revision_ > position)
             changes.rows_.push_back(row);
@@ -123,10 +123,10 @@
     return changes;
 }
 
-StoredRows Mirror::everything() const
+StoredRows Mirror::snapshot() const
 {
     StoredRows all;
-    all.revision_ = position_;
+    all.revision_ = knownRevision_;
     for (const auto &[key, row] : rows_)
         all.rows_.push_back(row);
     return all;
--- a/Libraries/LibSteering/Mirror.h
+++ b/Libraries/LibSteering/Mirror.h
@@ -15,7 +15,7 @@
 public:
     const std::map<std::string, Platform::StoredRow> &rows() const { return rows_; }
     /// The revision up to which rows() has every change.
-    Platform::Revision position() const { return position_; }
+    Platform::Revision position() const { return knownRevision_; }
     /// The revision of the last change in rows(). Unlike position() it does not increase while only
     /// other tables change, so it shows which of two instances holds newer rows.
     Platform::Revision lastChange() const { return lastChange_; }
@@ -34,7 +34,7 @@
 
     /// Returns the changes after \a position, or std::nullopt if they have been forgotten.
     std::optional<Platform::StoredRows> changesSince(Platform::Revision position) const;
-    Platform::StoredRows everything() const;
+    Platform::StoredRows snapshot() const;
 
 private:
     void applyRow(const Platform::StoredRow &row);
@@ -45,7 +45,7 @@
     std::map<std::string, Platform::StoredRow> rows_;
     /// The revisions in which removed rows were removed, by key.
     std::map<std::string, Platform::Revision> removedAt_;
-    Platform::Revision position_;
+    Platform::Revision knownRevision_;
     Platform::Revision lastChange_;
     /// Removals before this revision have been forgotten.
     Platform::Revision removalsKnownSince_;
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -13,12 +13,12 @@
 
 /// A store reader that is behind waits this long for the store before it requests rows from peers:
 /// it may be batching changes or waiting for its first answer.
-constexpr Milliseconds gatheringPatience{700};
+constexpr Milliseconds readerFetchDelay{700};
 /// Concurrent requests for rows to peers.
-constexpr std::size_t mostAsked = 2;
+constexpr std::size_t maxConcurrentFetches = 2;
 /// An instance that has been behind for this long, because its peers do not send their newer rows,
 /// reads the store itself.
-constexpr Milliseconds peerPatience{1000};
+constexpr Milliseconds peerFetchTimeout{1000};
 /// Before this many rounds have passed, a newly started instance reads each table once and requests
 /// no changes: sixty instances that each consider themselves the only one would make ten calls
 /// each. The rounds take 1.6 s, by which a change may be delayed.
@@ -47,14 +47,14 @@
     , incarnation_(
           static_cast<std::uint64_t>(std::chrono::system_clock::now().time_since_epoch().count()))
 {
-    refreshOwn();
+    refreshLocalMember();
 }
 
 bool PeerExchange::start()
 {
     if (!server_.listen(settings_.addresses_.control_))
         return false;
-    Http::asio::co_spawn(context_, roundLoop(), Http::asio::detached);
+    Http::asio::co_spawn(context_, gossipLoop(), Http::asio::detached);
     return true;
 }
 
@@ -62,10 +62,10 @@
 {
     isLeaving_ = true;
     isReady_ = false;
-    refreshOwn();
+    refreshLocalMember();
 }
 
-void PeerExchange::refreshOwn()
+void PeerExchange::refreshLocalMember()
 {
     const auto now = std::chrono::steady_clock::now();
     Policy::Member &own = members_[settings_.instance_];
@@ -75,20 +75,20 @@
     own.instance_.addresses_.entry_ = settings_.addresses_.entry_;
     own.instance_.addresses_.control_ = settings_.addresses_.control_;
     own.heardAt_ = now;
-    Policy::MemberPulse &pulse = own.pulse_;
-    pulse.id_ = settings_.instance_;
-    pulse.incarnation_ = incarnation_;
-    ++pulse.heartbeat_;
-    pulse.isReady_ = isReady_;
-    pulse.isLeaving_ = isLeaving_;
+    Policy::MemberPulse &heartbeatRecord = own.pulse_;
+    heartbeatRecord.id_ = settings_.instance_;
+    heartbeatRecord.incarnation_ = incarnation_;
+    ++heartbeatRecord.heartbeat_;
+    heartbeatRecord.isReady_ = isReady_;
+    heartbeatRecord.isLeaving_ = isLeaving_;
     const bool isStoreReached = store_.contact_ == Policy::StoreContact::Reached;
     const auto answered = isStoreReached ? now - store_.answeredSince_ : SteadyTime::duration(0);
-    pulse.store_ = store_.contact_;
-    pulse.storeAnswered_ = std::chrono::duration_cast<Milliseconds>(answered);
-    pulse.targetsRead_ = isStoreReached ? store_.targetsRead_ : 0;
-    pulse.operatorsSeen_ = knowledge_.mirror(StoreTable::Operators).lastChange().value();
-    pulse.targetsSeen_ = knowledge_.mirror(StoreTable::Targets).lastChange().value();
-    pulse.regionEntries_
+    heartbeatRecord.store_ = store_.contact_;
+    heartbeatRecord.storeAnswered_ = std::chrono::duration_cast<Milliseconds>(answered);
+    heartbeatRecord.targetsRead_ = isStoreReached ? store_.targetsRead_ : 0;
+    heartbeatRecord.operatorsSeen_ = knowledge_.mirror(StoreTable::Operators).lastChange().value();
+    heartbeatRecord.targetsSeen_ = knowledge_.mirror(StoreTable::Targets).lastChange().value();
+    heartbeatRecord.regionEntries_
         = static_cast<std::uint32_t>(Policy::entriesIn(members_, settings_.region_, now));
 }
 
@@ -98,12 +98,12 @@
     return {store_, Policy::standingsOf(members_, settings_.instance_, now)};
 }
 
-const Model::Instance &PeerExchange::ownInstance() const
+const Model::Instance &PeerExchange::localInstance() const
 {
     return members_.at(settings_.instance_).instance_;
 }
 
-bool PeerExchange::knowsAnyone() const
+bool PeerExchange::hasLivePeer() const
 {
     const auto now = std::chrono::steady_clock::now();
     return std::any_of(members_.begin(), members_.end(), [&](const auto &entry) {
@@ -111,7 +111,7 @@
     });
 }
 
-bool PeerExchange::knowsEveryRegion() const
+bool PeerExchange::hasLiveMemberInEveryRegion() const
 {
     const auto now = std::chrono::steady_clock::now();
     return std::all_of(
@@ -123,12 +123,12 @@
         });
 }
 
-Model::Address PeerExchange::dialled(const Model::Address &address) const
+Model::Address PeerExchange::addressToDial(const Model::Address &address) const
 {
     return Observe::dialAddress(settings_, address);
 }
 
-std::string PeerExchange::ownRecord() const
+std::string PeerExchange::localRecord() const
 {
     return toText(members_.at(settings_.instance_));
 }
@@ -147,10 +147,10 @@
         return;
     // The store's record does not show whether the instance still runs.
     member->isHearsay_ = true;
-    hear(std::move(*member));
+    recordMember(std::move(*member));
 }
 
-void PeerExchange::hear(Policy::Member member)
+void PeerExchange::recordMember(Policy::Member member)
 {
     if (member.instance_.id_ == settings_.instance_)
         return;
@@ -159,7 +159,7 @@
     Policy::hearOf(members_, member, heardAt);
 }
 
-void PeerExchange::forgetAges()
+void PeerExchange::markMembersUnconfirmed()
 {
     for (auto &[id, member] : members_) {
         if (id != settings_.instance_)
@@ -167,16 +167,17 @@
     }
 }
 
-Task<void> PeerExchange::roundLoop()
+Task<void> PeerExchange::gossipLoop()
 {
     while (true) {
-        refreshOwn();
+        refreshLocalMember();
         const auto now = std::chrono::steady_clock::now();
         Policy::forgetSilent(members_, settings_.instance_, now);
         Policy::forgetStrangers(members_, now);
         for (auto &peer : choosePeers())
-            Http::asio::co_spawn(context_, askPeer(std::move(peer), false), Http::asio::detached);
-        noteChanges(now);
+            Http::asio::co_spawn(context_, sendGossip(std::move(peer), false),
+                                 Http::asio::detached);
+        logLivenessChanges(now);
         if (behindSince_)
             catchUp(now);
         co_await Http::sleepFor(Policy::peerRound);
@@ -187,7 +188,7 @@
 std::vector<Model::Instance> PeerExchange::choosePeers()
 {
     const auto now = std::chrono::steady_clock::now();
-    auto peers = Policy::peersOfRound(members_, ownInstance(), now, random_());
+    auto peers = Policy::peersOfRound(members_, localInstance(), now, random_());
     if (peers.size() >= Policy::nearPeersInRound)
         return peers;
     // Seeds may be stale, so they are used only while few instances are known.
@@ -206,49 +207,50 @@
 
 void PeerExchange::announce()
 {
-    const auto &pulse = members_.at(settings_.instance_).pulse_;
-    const auto operators = pulse.operatorsSeen_;
-    const auto targets = pulse.targetsSeen_;
-    refreshOwn();
-    if (pulse.operatorsSeen_ == operators && pulse.targetsSeen_ == targets)
+    const auto &heartbeatRecord = members_.at(settings_.instance_).pulse_;
+    const auto operators = heartbeatRecord.operatorsSeen_;
+    const auto targets = heartbeatRecord.targetsSeen_;
+    refreshLocalMember();
+    if (heartbeatRecord.operatorsSeen_ == operators && heartbeatRecord.targetsSeen_ == targets)
         return;
     const auto now = std::chrono::steady_clock::now();
-    auto chosen = Policy::peersToTellAtOnce(members_, ownInstance(), now, random_());
+    auto chosen = Policy::peersToTellAtOnce(members_, localInstance(), now, random_());
     for (auto &peer : chosen)
-        Http::asio::co_spawn(context_, askPeer(std::move(peer), true), Http::asio::detached);
+        Http::asio::co_spawn(context_, sendGossip(std::move(peer), true), Http::asio::detached);
 }
 
-void PeerExchange::take(const PeerMessage &message, SteadyTime now)
+void PeerExchange::recordMessage(const PeerMessage &message, SteadyTime now)
 {
-    hear(message.sender_);
-    for (const auto &member : message.news_.whole_)
-        hear(member);
-    for (const auto &pulse : message.news_.pulses_) {
-        if (pulse.id_ != settings_.instance_)
-            Policy::hearPulse(members_, pulse, now);
+    recordMember(message.sender_);
+    for (const auto &member : message.update_.whole_)
+        recordMember(member);
+    for (const auto &heartbeatRecord : message.update_.pulses_) {
+        if (heartbeatRecord.id_ != settings_.instance_)
+            Policy::hearPulse(members_, heartbeatRecord, now);
     }
-    loadsHeard_(message.loads_);
-    crashesHeard_(message.crashes_, message.sender_.pulse_.isReady_);
+    receiveLoads_(message.loads_);
+    receiveCrashes_(message.crashes_, message.sender_.pulse_.isReady_);
     catchUp(now);
     if (!behindSince_)
-        informedAt_ = now;
+        upToDateAt_ = now;
 }
 
-void PeerExchange::setLoadNews(std::function<std::vector<Policy::TargetLoad>()> told,
-                               std::function<void(const std::vector<Policy::TargetLoad> &)> heard)
+void PeerExchange::setLoadExchange(
+    std::function<std::vector<Policy::TargetLoad>()> provide,
+    std::function<void(const std::vector<Policy::TargetLoad> &)> receive)
 {
-    loadsTold_ = std::move(told);
-    loadsHeard_ = std::move(heard);
+    provideLoads_ = std::move(provide);
+    receiveLoads_ = std::move(receive);
 }
 
-void PeerExchange::setCrashNews(std::function<Policy::CrashNews()> told,
-                                std::function<void(const Policy::CrashNews &, bool)> heard)
+void PeerExchange::setCrashExchange(std::function<Policy::CrashNews()> provide,
+                                    std::function<void(const Policy::CrashNews &, bool)> receive)
 {
-    crashesTold_ = std::move(told);
-    crashesHeard_ = std::move(heard);
+    provideCrashes_ = std::move(provide);
+    receiveCrashes_ = std::move(receive);
 }
 
-void PeerExchange::noteChanges(SteadyTime now)
+void PeerExchange::logLivenessChanges(SteadyTime now)
 {
     for (const auto &[id, member] : members_) {
         const bool isAlive = Policy::isAlive(member, now);
@@ -268,32 +270,32 @@
 }
 
 /// Returns the nearest peer that has newer rows and no request in progress, or nullptr.
-const Policy::Member *PeerExchange::betterInformed(SteadyTime now)
+const Policy::Member *PeerExchange::peerWithNewerRows(SteadyTime now)
 {
-    const auto knowsMore = [this](const Policy::Member &member) {
-        const auto &pulse = member.pulse_;
-        return !asked_.contains(member.instance_.id_)
-               && knowledge_.lacks({Platform::Revision(pulse.operatorsSeen_),
-                                    Platform::Revision(pulse.targetsSeen_)});
+    const auto hasNewerRows = [this](const Policy::Member &member) {
+        const auto &heartbeatRecord = member.pulse_;
+        return !pendingFetches_.contains(member.instance_.id_)
+               && knowledge_.isBehind({Platform::Revision(heartbeatRecord.operatorsSeen_),
+                                       Platform::Revision(heartbeatRecord.targetsSeen_)});
     };
-    return Policy::nearestThat(members_, ownInstance(), knowsMore, now, random_());
+    return Policy::nearestThat(members_, localInstance(), hasNewerRows, now, random_());
 }
 
 void PeerExchange::setStoreCalls(std::function<bool(StoreTable, SteadyTime)> hasWaitedSince,
-                                 std::function<void(StoreTable)> askAnew)
+                                 std::function<void(StoreTable)> restartWaitingCall)
 {
     hasWaitedSince_ = std::move(hasWaitedSince);
-    askAnew_ = std::move(askAnew);
+    restartWaitingCall_ = std::move(restartWaitingCall);
 }
 
-void PeerExchange::setRemovalNews(std::function<RemovalAges()> told,
-                                  std::function<void(const RemovalAges &)> heard)
+void PeerExchange::setRemovalExchange(std::function<RemovalAges()> provide,
+                                      std::function<void(const RemovalAges &)> receive)
 {
-    removalsTold_ = std::move(told);
-    removalsHeard_ = std::move(heard);
+    provideRemovals_ = std::move(provide);
+    receiveRemovals_ = std::move(receive);
 }
 
-void PeerExchange::lookForNews()
+void PeerExchange::fetchIfBehind()
 {
     if (behindSince_)
         catchUp(std::chrono::steady_clock::now());
@@ -302,8 +304,9 @@
 /// Tells whether the waiting call to the store should have returned the newer rows of \a peer.
 bool PeerExchange::isCallHanging(StoreTable table, const Policy::Member &peer, SteadyTime now) const
 {
-    const auto &pulse = peer.pulse_;
-    const auto seen = table == StoreTable::Operators ? pulse.operatorsSeen_ : pulse.targetsSeen_;
+    const auto &heartbeatRecord = peer.pulse_;
+    const auto seen = table == StoreTable::Operators ? heartbeatRecord.operatorsSeen_
+                                                     : heartbeatRecord.targetsSeen_;
     return Platform::Revision(seen) > knowledge_.mirror(table).position()
            && hasWaitedSince_(table, now - Policy::readerPatience);
 }
@@ -312,16 +315,17 @@
 /// after it announced newer rows.
 bool PeerExchange::mayFetch(SteadyTime now) const
 {
-    if (asked_.empty())
-        return now >= fetchAgainAt_;
-    return asked_.size() < mostAsked && now - askedAt_ >= Policy::fetchPatience;
+    if (pendingFetches_.empty())
+        return now >= nextFetchAt_;
+    return pendingFetches_.size() < maxConcurrentFetches
+           && now - lastFetchAt_ >= Policy::fetchPatience;
 }
 
 /// Requests the rows that a peer has and this instance is missing, if there are any.
 void PeerExchange::catchUp(SteadyTime now)
 {
-    const Policy::Member *peer = betterInformed(now);
-    if (!peer && !asked_.empty())
+    const Policy::Member *peer = peerWithNewerRows(now);
+    if (!peer && !pendingFetches_.empty())
         return;
     if (!peer) {
         behindSince_.reset();
@@ -331,28 +335,28 @@
         behindSince_ = now;
     const bool isReader = store_.contact_ == Policy::StoreContact::Reached;
     const auto behindFor = now - *behindSince_;
-    bool isDue = !isReader || behindFor >= gatheringPatience;
+    bool isDue = !isReader || behindFor >= readerFetchDelay;
     if (isReader && behindFor >= Policy::readerPatience) {
         for (const auto table : {StoreTable::Operators, StoreTable::Targets}) {
             if (!isCallHanging(table, *peer, now))
                 continue;
-            askAnew_(table);
+            restartWaitingCall_(table);
             isDue = true;
         }
     }
     if (isDue && mayFetch(now))
-        Http::asio::co_spawn(context_, fetchKnowledge(), Http::asio::detached);
+        Http::asio::co_spawn(context_, fetchState(), Http::asio::detached);
 }
 
 Policy::ReaderRank PeerExchange::readerRank() const
 {
     const auto now = std::chrono::steady_clock::now();
-    if (behindSince_ && now - *behindSince_ > peerPatience)
+    if (behindSince_ && now - *behindSince_ > peerFetchTimeout)
         return Policy::ReaderRank::First;
     // In a fleet that starts together, no instance knows the number of members yet.
     if (rounds_ < roundsToSettle)
         return Policy::ReaderRank::None;
-    return Policy::readerRank(members_, ownInstance(), now);
+    return Policy::readerRank(members_, localInstance(), now);
 }
 
 } // namespace Steering
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -36,29 +36,29 @@
     /// Returns the store standing of this instance and of its live peers.
     Policy::StoreEvidence storeEvidence() const;
     /// Sets the callback for when rows from a peer have been recorded.
-    void setKnowledgeChanged(std::function<void()> changed) { changed_ = std::move(changed); }
+    void setStateChangedCallback(std::function<void()> changed) { changed_ = std::move(changed); }
 
     /// Sets the source of the target loads that are sent to peers, and the sink for theirs.
-    void setLoadNews(std::function<std::vector<Policy::TargetLoad>()> told,
-                     std::function<void(const std::vector<Policy::TargetLoad> &)> heard);
+    void setLoadExchange(std::function<std::vector<Policy::TargetLoad>()> provide,
+                         std::function<void(const std::vector<Policy::TargetLoad> &)> receive);
 
     /// Sets the source of updates on crashed targets and quarantined requests, and the sink for
     /// those of peers; the sink also gets whether the peer is ready.
-    void setCrashNews(std::function<Policy::CrashNews()> told,
-                      std::function<void(const Policy::CrashNews &, bool)> heard);
+    void setCrashExchange(std::function<Policy::CrashNews()> provide,
+                          std::function<void(const Policy::CrashNews &, bool)> receive);
 
     /// Sets the function that tells whether this instance's call for a table has waited for changes
     /// since a time, and the one that restarts that call.
     void setStoreCalls(std::function<bool(StoreTable, Model::SteadyTime)> hasWaitedSince,
-                       std::function<void(StoreTable)> askAnew);
+                       std::function<void(StoreTable)> restartWaitingCall);
     /// Sets the source of the ages of expired or removed target registrations, and the sink for
     /// those of peers.
-    void setRemovalNews(std::function<RemovalAges()> told,
-                        std::function<void(const RemovalAges &)> heard);
+    void setRemovalExchange(std::function<RemovalAges()> provide,
+                            std::function<void(const RemovalAges &)> receive);
 
     /// Requests missing rows from a peer if this instance is behind and a request is due. Called
     /// every tick.
-    void lookForNews();
+    void fetchIfBehind();
 
     /// Sends the revisions, if they have changed, at once to a few peers that do not read the
     /// store.
@@ -68,18 +68,18 @@
     /// a heartbeat of it arrives.
     void addRecord(const std::string &record);
     /// Returns this instance's record for the store.
-    std::string ownRecord() const;
+    std::string localRecord() const;
 
     const Policy::Members &members() const { return members_; }
-    const Model::Instance &ownInstance() const;
+    const Model::Instance &localInstance() const;
     /// Tells whether an exchange with each of a few peers has been attempted.
-    bool hasAsked() const { return rounds_ >= 2; }
+    bool hasContactedPeers() const { return rounds_ >= 2; }
     /// Tells whether any other instance is alive.
-    bool knowsAnyone() const;
+    bool hasLivePeer() const;
     /// Tells whether an instance in every region of the settings is alive.
-    bool knowsEveryRegion() const;
+    bool hasLiveMemberInEveryRegion() const;
     /// When a message last arrived from a peer while no peer was known to have newer rows.
-    Model::SteadyTime informedAt() const { return informedAt_; }
+    Model::SteadyTime upToDateAt() const { return upToDateAt_; }
     /// Returns whether this instance reads the store, and in which role.
     Policy::ReaderRank readerRank() const;
 
@@ -88,24 +88,24 @@
 
     /// Makes all members unconfirmed, because the ages of their heartbeats are wrong after the
     /// process was suspended.
-    void forgetAges();
+    void markMembersUnconfirmed();
 
 private:
-    Http::Task<void> roundLoop();
-    Http::Task<void> askPeer(Model::Instance peer, bool isAnnouncement);
-    Http::Task<void> fetchKnowledge();
+    Http::Task<void> gossipLoop();
+    Http::Task<void> sendGossip(Model::Instance peer, bool isAnnouncement);
+    Http::Task<void> fetchState();
     void countCall(PeerCall call, const Model::Instance &peer, const Http::Request &request,
                    const Http::ExchangeResult &result);
     Http::Task<Http::Response> answer(Http::IncomingRequest request);
     Http::Response answerGossip(const Http::Request &request);
-    Http::Response answerKnowledge(const Http::Request &request);
+    Http::Response answerStateRequest(const Http::Request &request);
     std::vector<Model::Instance> choosePeers();
-    void refreshOwn();
-    Model::Address dialled(const Model::Address &address) const;
-    void take(const PeerMessage &message, Model::SteadyTime now);
-    void hear(Policy::Member member);
-    void noteChanges(Model::SteadyTime now);
-    const Policy::Member *betterInformed(Model::SteadyTime now);
+    void refreshLocalMember();
+    Model::Address addressToDial(const Model::Address &address) const;
+    void recordMessage(const PeerMessage &message, Model::SteadyTime now);
+    void recordMember(Policy::Member member);
+    void logLivenessChanges(Model::SteadyTime now);
+    const Policy::Member *peerWithNewerRows(Model::SteadyTime now);
     void catchUp(Model::SteadyTime now);
     bool isCallHanging(StoreTable table, const Policy::Member &peer, Model::SteadyTime now) const;
     bool mayFetch(Model::SteadyTime now) const;
@@ -120,23 +120,25 @@
     Policy::Members members_;
     std::map<Model::InstanceId, bool> knownAlive_;
     std::function<void()> changed_;
-    std::function<std::vector<Policy::TargetLoad>()> loadsTold_ = [] {
+    std::function<std::vector<Policy::TargetLoad>()> provideLoads_ = [] {
         return std::vector<Policy::TargetLoad>();
     };
-    std::function<void(const std::vector<Policy::TargetLoad> &)> loadsHeard_ = [](const auto &) {};
-    std::function<Policy::CrashNews()> crashesTold_ = [] {
+    std::function<void(const std::vector<Policy::TargetLoad> &)> receiveLoads_
+        = [](const auto &) {};
+    std::function<Policy::CrashNews()> provideCrashes_ = [] {
         return Policy::CrashNews();
     };
-    std::function<void(const Policy::CrashNews &, bool)> crashesHeard_ = [](const auto &, bool) {};
+    std::function<void(const Policy::CrashNews &, bool)> receiveCrashes_
+        = [](const auto &, bool) {};
     std::function<bool(StoreTable, Model::SteadyTime)> hasWaitedSince_
         = [](StoreTable, Model::SteadyTime) {
               return false;
           };
-    std::function<void(StoreTable)> askAnew_ = [](StoreTable) {};
-    std::function<RemovalAges()> removalsTold_ = [] {
+    std::function<void(StoreTable)> restartWaitingCall_ = [](StoreTable) {};
+    std::function<RemovalAges()> provideRemovals_ = [] {
         return RemovalAges();
     };
-    std::function<void(const RemovalAges &)> removalsHeard_ = [](const RemovalAges &) {};
+    std::function<void(const RemovalAges &)> receiveRemovals_ = [](const RemovalAges &) {};
     std::mt19937_64 random_{std::random_device()()};
     Model::Incarnation incarnation_;
     std::uint64_t rounds_ = 0;
@@ -144,12 +146,12 @@
     bool isLeaving_ = false;
     Policy::StoreStanding store_;
     /// Peers to which a request for rows is in progress.
-    std::set<Model::InstanceId> asked_;
-    Model::SteadyTime askedAt_ = Model::longAgo;
-    Model::SteadyTime fetchAgainAt_ = Model::longAgo;
+    std::set<Model::InstanceId> pendingFetches_;
+    Model::SteadyTime lastFetchAt_ = Model::longAgo;
+    Model::SteadyTime nextFetchAt_ = Model::longAgo;
     /// Since when a peer is known to have newer rows.
     std::optional<Model::SteadyTime> behindSince_;
-    Model::SteadyTime informedAt_ = Model::longAgo;
+    Model::SteadyTime upToDateAt_ = Model::longAgo;
 };
 
 } // namespace Steering
--- a/Libraries/LibSteering/PeerMessage.cpp
+++ b/Libraries/LibSteering/PeerMessage.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 // A heartbeat record is encoded as an array with these indices.
-enum PulsePlace {
+enum HeartbeatField {
     Id,
-    Run,
-    Beat,
+    IncarnationNumber,
+    Heartbeat,
     Flags,
     Store,
     Operators,
@@ -40,44 +40,45 @@
     return NotAsked;
 }
 
-json toJson(const MemberPulse &pulse)
+json toJson(const MemberPulse &heartbeatRecord)
 {
-    const unsigned flags
-        = (pulse.isReady_ ? readyFlag : 0U) | (pulse.isLeaving_ ? leavingFlag : 0U);
-    return {pulse.id_.value(),
-            pulse.incarnation_.value(),
-            pulse.heartbeat_,
+    const unsigned flags = (heartbeatRecord.isReady_ ? readyFlag : 0U)
+                           | (heartbeatRecord.isLeaving_ ? leavingFlag : 0U);
+    return {heartbeatRecord.id_.value(),
+            heartbeatRecord.incarnation_.value(),
+            heartbeatRecord.heartbeat_,
             flags,
-            static_cast<int>(pulse.store_),
-            pulse.operatorsSeen_,
-            pulse.targetsSeen_,
-            pulse.regionEntries_,
-            pulse.age_.count(),
-            pulse.storeAnswered_.count(),
-            pulse.targetsRead_};
+            static_cast<int>(heartbeatRecord.store_),
+            heartbeatRecord.operatorsSeen_,
+            heartbeatRecord.targetsSeen_,
+            heartbeatRecord.regionEntries_,
+            heartbeatRecord.age_.count(),
+            heartbeatRecord.storeAnswered_.count(),
+            heartbeatRecord.targetsRead_};
 }
 
-MemberPulse pulseFromJson(const json &text)
+MemberPulse heartbeatFromJson(const json &text)
 {
-    MemberPulse pulse;
-    pulse.id_ = Model::InstanceId(text.at(Id).get<std::string>());
-    pulse.incarnation_ = Model::Incarnation(text.at(Run).get<std::uint64_t>());
-    pulse.heartbeat_ = text.at(Beat).get<std::uint64_t>();
+    MemberPulse heartbeatRecord;
+    heartbeatRecord.id_ = Model::InstanceId(text.at(Id).get<std::string>());
+    heartbeatRecord.incarnation_
+        = Model::Incarnation(text.at(IncarnationNumber).get<std::uint64_t>());
+    heartbeatRecord.heartbeat_ = text.at(Heartbeat).get<std::uint64_t>();
     const auto flags = text.at(Flags).get<unsigned>();
-    pulse.isReady_ = (flags & readyFlag) != 0;
-    pulse.isLeaving_ = (flags & leavingFlag) != 0;
-    pulse.store_ = contactFromNumber(text.at(Store).get<int>());
-    pulse.operatorsSeen_ = text.at(Operators).get<std::uint64_t>();
-    pulse.targetsSeen_ = text.at(Targets).get<std::uint64_t>();
-    pulse.regionEntries_ = text.at(Entries).get<std::uint32_t>();
-    pulse.age_ = Model::Milliseconds(text.at(Age).get<long long>());
+    heartbeatRecord.isReady_ = (flags & readyFlag) != 0;
+    heartbeatRecord.isLeaving_ = (flags & leavingFlag) != 0;
+    heartbeatRecord.store_ = contactFromNumber(text.at(Store).get<int>());
+    heartbeatRecord.operatorsSeen_ = text.at(Operators).get<std::uint64_t>();
+    heartbeatRecord.targetsSeen_ = text.at(Targets).get<std::uint64_t>();
+    heartbeatRecord.regionEntries_ = text.at(Entries).get<std::uint32_t>();
+    heartbeatRecord.age_ = Model::Milliseconds(text.at(Age).get<long long>());
     // Instances of an earlier version do not send how long the store has answered them.
     if (text.size() > TargetsRead) {
         const Model::Milliseconds answered(text.at(StoreAnswered).get<long long>());
-        pulse.storeAnswered_ = std::max(Model::Milliseconds(0), answered);
-        pulse.targetsRead_ = text.at(TargetsRead).get<std::uint64_t>();
+        heartbeatRecord.storeAnswered_ = std::max(Model::Milliseconds(0), answered);
+        heartbeatRecord.targetsRead_ = text.at(TargetsRead).get<std::uint64_t>();
     }
-    return pulse;
+    return heartbeatRecord;
 }
 
 json toJson(const Member &member)
@@ -94,7 +95,7 @@
 {
     const auto address = Model::addressFromText(text.get<std::string>());
     if (!address)
-        throw std::invalid_argument("invalid address: " + text.get<std::string>());
+        throw std::invalid_argument("no valid address: " + text.get<std::string>());
     return *address;
 }
 
@@ -102,7 +103,7 @@
 Member memberFromJson(const json &text, SteadyTime now)
 {
     Member member;
-    member.pulse_ = pulseFromJson(text.at("pulse"));
+    member.pulse_ = heartbeatFromJson(text.at("pulse"));
     auto &instance = member.instance_;
     instance.id_ = member.pulse_.id_;
     instance.region_ = Model::RegionId(text.at("region").get<std::string>());
@@ -123,22 +124,22 @@
 }
 
 // Crashed incarnations and quarantines are encoded as arrays of numbers, like heartbeat records.
-json toJson(const Policy::CrashNews &news)
+json toJson(const Policy::CrashNews &update)
 {
     json runs = json::array();
-    for (const auto &run : news.runs_) {
-        json told = {run.run_.value(), run.age_.count()};
+    for (const auto &run : update.runs_) {
+        json item = {run.run_.value(), run.age_.count()};
         for (const auto &suspect : run.suspects_) {
-            told.push_back(suspect.print_.request_);
-            told.push_back(suspect.print_.caller_);
-            told.push_back(suspect.isCleared_);
+            item.push_back(suspect.print_.request_);
+            item.push_back(suspect.print_.caller_);
+            item.push_back(suspect.isCleared_);
         }
-        runs.push_back(std::move(told));
+        runs.push_back(std::move(item));
     }
     json quarantines = json::array();
-    for (const auto &told : news.quarantines_) {
-        quarantines.push_back({told.print_.request_, told.print_.caller_, told.generation_,
-                               told.lifted_, told.age_.count()});
+    for (const auto &item : update.quarantines_) {
+        quarantines.push_back({item.print_.request_, item.print_.caller_, item.generation_,
+                               item.lifted_, item.age_.count()});
     }
     return {std::move(runs), std::move(quarantines)};
 }
@@ -152,26 +153,26 @@
 {
     constexpr std::size_t suspectsAt = 2;
     constexpr std::size_t suspectSize = 3;
-    Policy::CrashNews news;
-    for (const auto &told : text.at(0)) {
+    Policy::CrashNews update;
+    for (const auto &item : text.at(0)) {
         Policy::ToldRun run;
-        run.run_ = Policy::RunKey(told.at(0).get<std::uint64_t>());
-        run.age_ = ageFromJson(told.at(1));
-        for (std::size_t i = suspectsAt; i < told.size(); i += suspectSize) {
+        run.run_ = Policy::RunKey(item.at(0).get<std::uint64_t>());
+        run.age_ = ageFromJson(item.at(1));
+        for (std::size_t i = suspectsAt; i < item.size(); i += suspectSize) {
             run.suspects_.push_back(
-                {{told.at(i).get<std::uint64_t>(), told.at(i + 1).get<std::uint32_t>()},
-                 told.at(i + 2).get<bool>()});
+                {{item.at(i).get<std::uint64_t>(), item.at(i + 1).get<std::uint32_t>()},
+                 item.at(i + 2).get<bool>()});
         }
-        news.runs_.push_back(std::move(run));
+        update.runs_.push_back(std::move(run));
     }
-    for (const auto &told : text.at(1)) {
-        news.quarantines_.push_back(
-            {{told.at(0).get<std::uint64_t>(), told.at(1).get<std::uint32_t>()},
-             told.at(2).get<std::uint32_t>(),
-             told.at(3).get<std::uint32_t>(),
-             ageFromJson(told.at(4))});
+    for (const auto &item : text.at(1)) {
+        update.quarantines_.push_back(
+            {{item.at(0).get<std::uint64_t>(), item.at(1).get<std::uint32_t>()},
+             item.at(2).get<std::uint32_t>(),
+             item.at(3).get<std::uint32_t>(),
+             ageFromJson(item.at(4))});
     }
-    return news;
+    return update;
 }
 
 std::nullopt_t unreadable(const char *why)
@@ -184,17 +185,17 @@
 std::string toBytes(const PeerMessage &message)
 {
     json whole = json::array();
-    for (const auto &member : message.news_.whole_)
+    for (const auto &member : message.update_.whole_)
         whole.push_back(toJson(member));
-    json pulses = json::array();
-    for (const auto &pulse : message.news_.pulses_)
-        pulses.push_back(toJson(pulse));
+    json heartbeatRecords = json::array();
+    for (const auto &heartbeatRecord : message.update_.pulses_)
+        heartbeatRecords.push_back(toJson(heartbeatRecord));
     json loads = json::array();
     for (const auto &load : message.loads_)
         loads.push_back({load.target_, load.inProgress_, load.age_.count()});
     json all = {{"sender", toJson(message.sender_)},
                 {"whole", std::move(whole)},
-                {"pulses", std::move(pulses)},
+                {"pulses", std::move(heartbeatRecords)},
                 {"loads", std::move(loads)}};
     if (!message.crashes_.isEmpty())
         all["crashes"] = toJson(message.crashes_);
@@ -207,14 +208,14 @@
 {
     const json all = json::from_msgpack(bytes, true, false);
     if (!all.is_object())
-        return unreadable("the message is not a MessagePack object");
+        return unreadable("no MessagePack object in the message");
     try {
         PeerMessage message;
         message.sender_ = memberFromJson(all.at("sender"), now);
         for (const auto &member : all.at("whole"))
-            message.news_.whole_.push_back(memberFromJson(member, now));
-        for (const auto &pulse : all.at("pulses"))
-            message.news_.pulses_.push_back(pulseFromJson(pulse));
+            message.update_.whole_.push_back(memberFromJson(member, now));
+        for (const auto &heartbeatRecord : all.at("pulses"))
+            message.update_.pulses_.push_back(heartbeatFromJson(heartbeatRecord));
         // Instances of an earlier version, which run beside this one during a rolling upgrade, send
         // no loads.
         for (const auto &load : all.value("loads", json::array()))
@@ -236,7 +237,7 @@
 {
     const json parsed = json::parse(text, nullptr, false);
     if (!parsed.is_object())
-        return unreadable("the record is not a JSON object");
+        return unreadable("no JSON object in the record");
     try {
         return memberFromJson(parsed, now);
     } catch (const std::exception &error) {
--- a/Libraries/LibSteering/PeerMessage.h
+++ b/Libraries/LibSteering/PeerMessage.h
@@ -12,7 +12,7 @@
 struct PeerMessage
 {
     Policy::Member sender_;
-    Policy::PeerNews news_;
+    Policy::PeerNews update_;
     std::vector<Policy::TargetLoad> loads_;
     Policy::CrashNews crashes_;
 };
--- a/Libraries/LibSteering/PeerTraffic.cpp
+++ b/Libraries/LibSteering/PeerTraffic.cpp
@@ -2,16 +2,16 @@
 
 namespace Steering {
 
-Reach reachOf(const Model::Instance &own, const Model::Instance &peer)
+CallScope scopeOf(const Model::Instance &own, const Model::Instance &peer)
 {
     if (own.region_ != peer.region_)
-        return Reach::Fleet;
-    return own.domain_ == peer.domain_ ? Reach::Domain : Reach::Region;
+        return CallScope::Fleet;
+    return own.domain_ == peer.domain_ ? CallScope::Domain : CallScope::Region;
 }
 
-void countBytes(PeerTraffic &traffic, PeerCall call, Reach reach, std::size_t bytes)
+void countBytes(PeerTraffic &traffic, PeerCall call, CallScope scope, std::size_t bytes)
 {
-    traffic.bytes_[{call, reach}] += bytes;
+    traffic.bytes_[{call, scope}] += bytes;
 }
 
 const char *nameOf(PeerCall call)
@@ -27,14 +27,14 @@
     return "knowledge";
 }
 
-const char *nameOf(Reach reach)
+const char *nameOf(CallScope scope)
 {
-    switch (reach) {
-    case Reach::Domain:
+    switch (scope) {
+    case CallScope::Domain:
         return "domain";
-    case Reach::Region:
+    case CallScope::Region:
         return "region";
-    case Reach::Fleet:
+    case CallScope::Fleet:
         break;
     }
     return "fleet";
--- a/Libraries/LibSteering/PlatformPort.h
+++ b/Libraries/LibSteering/PlatformPort.h
@@ -96,7 +96,7 @@
 
     /// Writes or removes the record of a quarantined request; returns whether the store accepted
     /// the change.
-    std::function<Http::Task<bool>(std::string print, std::optional<std::string> record)>
+    std::function<Http::Task<bool>(std::string fingerprint, std::optional<std::string> record)>
         writeQuarantine_;
     /// Returns the records of all quarantined requests, by fingerprint.
     std::function<Http::Task<std::optional<std::map<std::string, std::string>>>()> readQuarantines_;
@@ -113,7 +113,7 @@
     std::function<std::optional<Policy::LookupQuery>(const Http::Request &)> readLookup_;
     /// Returns the answer that lists \a entries, which callers may cache for \a life.
     std::function<Http::Response(const std::vector<Model::Instance> &entries,
-                                 Model::Milliseconds life)>
+                                 Model::Milliseconds ttl)>
         lookupAnswer_;
     /// Tells whether a request is a readiness probe.
     std::function<bool(const Http::Request &)> asksReadiness_;
--- a/Libraries/LibSteering/StoreFollower.cpp
+++ b/Libraries/LibSteering/StoreFollower.cpp
@@ -13,7 +13,7 @@
 
 /// How long one call waits for changes. A connection that is permanently silent is detected within
 /// this time; a shorter time costs more calls, each of which is billed.
-constexpr Milliseconds longestWait{8000};
+constexpr Milliseconds maxWait{8000};
 
 /// The same at the first reader of a region, from which the other instances receive changes.
 ///
@@ -21,22 +21,22 @@
 /// wait there. A configuration or a target's leaving that it accepts just after its return stays
 /// unknown until these calls end, up to eight seconds after the silence began; if a change had made
 /// all instances call at the same moment, it stays unknown to all of them.
-constexpr Milliseconds firstReadersWait{2000};
+constexpr Milliseconds firstReaderMaxWait{2000};
 
 /// Changes of the operators' table are batched for less time than those of targets: they are rare.
-constexpr Milliseconds gatherOperators{50};
+constexpr Milliseconds operatorsBatchDelay{50};
 
 /// Interval at which an instance that does not read the store checks whether it should.
-constexpr Milliseconds idlePause{200};
+constexpr Milliseconds standbyCheckInterval{200};
 
-constexpr Milliseconds firstPause{150};
+constexpr Milliseconds minRetryDelay{150};
 /// Together with the timeout of an unanswered call (0.8 s) a returned store is found within 1.3 s.
-constexpr Milliseconds longestPause{500};
+constexpr Milliseconds maxRetryDelay{500};
 
-Milliseconds pauseAfter(int failures)
+Milliseconds retryDelayAfter(int failures)
 {
     const int doublings = std::clamp(failures - 1, 0, 4);
-    return std::min(longestPause, firstPause * (1 << doublings));
+    return std::min(maxRetryDelay, minRetryDelay * (1 << doublings));
 }
 
 const char *nameOf(StoreTable table)
@@ -69,9 +69,9 @@
 {
     if (operators_.failures_ > 0 || targets_.failures_ > 0)
         return Policy::StoreContact::Refused;
-    const bool isAsking = operators_.isAsking_ && targets_.isAsking_;
+    const bool isReading = operators_.isReading_ && targets_.isReading_;
     const bool isReached = operators_.isReached_ && targets_.isReached_;
-    return isAsking && isReached ? Policy::StoreContact::Reached : Policy::StoreContact::NotAsked;
+    return isReading && isReached ? Policy::StoreContact::Reached : Policy::StoreContact::NotAsked;
 }
 
 Policy::StoreStanding StoreFollower::standing() const
@@ -88,7 +88,7 @@
 
 /// An instance whose call has failed continues to call until one succeeds, so that its peers learn
 /// of the outage and of its end.
-bool StoreFollower::shouldAsk(StoreTable table, const Progress &progress) const
+bool StoreFollower::shouldRead(StoreTable table, const Progress &progress) const
 {
     return rank_() != Policy::ReaderRank::None || progress.failures_ > 0
            || !knowledge_.mirror(table).isKnown();
@@ -112,39 +112,39 @@
 bool StoreFollower::hasWaitedSince(StoreTable table, Model::SteadyTime time) const
 {
     const Progress &progress = progressOf(table);
-    return progress.waiting_ && progress.waitingSince_ <= time;
+    return progress.waitingCall_ && progress.waitingSince_ <= time;
 }
 
-void StoreFollower::askAnew(StoreTable table)
+void StoreFollower::restartWaitingCall(StoreTable table)
 {
     Progress &progress = progressOf(table);
-    if (!progress.waiting_)
+    if (!progress.waitingCall_)
         return;
     log_.line(Event::StoreCallAbandoned)
         .add("table", nameOf(table))
         .add("waited_ms", std::chrono::duration_cast<Model::Microseconds>(
                               std::chrono::steady_clock::now() - progress.waitingSince_));
-    progress.asksAnew_ = true;
-    std::exchange(progress.waiting_, nullptr)->cancel();
+    progress.isRestarted_ = true;
+    std::exchange(progress.waitingCall_, nullptr)->cancel();
 }
 
 Task<void> StoreFollower::follow(StoreTable table)
 {
     Progress &progress = progressOf(table);
     while (!isStopping_) {
-        noteAsking(table, progress, shouldAsk(table, progress));
-        if (!progress.isAsking_) {
-            co_await Http::sleepFor(idlePause);
+        setReading(table, progress, shouldRead(table, progress));
+        if (!progress.isReading_) {
+            co_await Http::sleepFor(standbyCheckInterval);
             continue;
         }
         bool isOk = false;
-        if (progress.needsAll_) {
+        if (progress.needsFullRead_) {
             isOk = co_await readAll(table, progress);
         } else {
             isOk = co_await readChanges(table, progress);
         }
         if (!isOk) {
-            co_await Http::sleepFor(pauseAfter(progress.failures_));
+            co_await Http::sleepFor(retryDelayAfter(progress.failures_));
         }
     }
 }
@@ -152,43 +152,43 @@
 /// How long the next call may wait for changes. After a failure, and when this instance begins to
 /// read the store, the call returns at once and only tests whether the store answers: a call that
 /// is sent a moment before the store's return is never answered, however long it waits.
-Milliseconds StoreFollower::waitFor(const Progress &progress) const
+Milliseconds StoreFollower::waitTimeout(const Progress &progress) const
 {
-    if (!progress.answeredSince_ || progress.asksAnew_)
+    if (!progress.answeredSince_ || progress.isRestarted_)
         return Milliseconds(0);
-    return rank_() == Policy::ReaderRank::First ? firstReadersWait : longestWait;
+    return rank_() == Policy::ReaderRank::First ? firstReaderMaxWait : maxWait;
 }
 
-Milliseconds StoreFollower::gatherTime(StoreTable table) const
+Milliseconds StoreFollower::batchDelay(StoreTable table) const
 {
     if (rank_() == Policy::ReaderRank::Reserve)
         return Policy::gatherInReserve;
-    return table == StoreTable::Targets ? Policy::gatherTargets : gatherOperators;
+    return table == StoreTable::Targets ? Policy::gatherTargets : operatorsBatchDelay;
 }
 
-void StoreFollower::noteAsking(StoreTable table, Progress &progress, bool isAsking)
+void StoreFollower::setReading(StoreTable table, Progress &progress, bool isReading)
 {
-    if (progress.isAsking_ != isAsking) {
+    if (progress.isReading_ != isReading) {
         log_.line(Event::StoreReading)
             .add("table", nameOf(table))
-            .add("reads", isAsking ? "yes" : "no")
+            .add("reads", isReading ? "yes" : "no")
             .add("position",
                  static_cast<std::int64_t>(knowledge_.mirror(table).position().value()));
     }
-    if (!isAsking)
+    if (!isReading)
         progress.answeredSince_.reset();
-    progress.isAsking_ = isAsking;
+    progress.isReading_ = isReading;
 }
 
 Task<bool> StoreFollower::readAll(StoreTable table, Progress &progress)
 {
     const auto rows = co_await port_.readAll_(table);
     if (!rows) {
-        noteFailed(table, progress);
+        recordFailure(table, progress);
         co_return false;
     }
-    noteReached(table, progress, rows->revision_);
-    progress.needsAll_ = false;
+    recordSuccess(table, progress, rows->revision_);
+    progress.needsFullRead_ = false;
     knowledge_.replace(table, *rows, "store");
     changed_();
     co_return true;
@@ -197,14 +197,14 @@
 Task<bool> StoreFollower::readChanges(StoreTable table, Progress &progress)
 {
     const auto position = knowledge_.mirror(table).position();
-    const auto wait = waitFor(progress);
-    progress.asksAnew_ = false;
+    const auto wait = waitTimeout(progress);
+    progress.isRestarted_ = false;
     Http::ExchangeControl control;
     progress.waitingSince_ = std::chrono::steady_clock::now();
     // A call that does not wait ends soon by itself.
-    progress.waiting_ = wait.count() > 0 ? &control : nullptr;
+    progress.waitingCall_ = wait.count() > 0 ? &control : nullptr;
     const auto changes = co_await port_.awaitChanges_(table, position, wait, control);
-    progress.waiting_ = nullptr;
+    progress.waitingCall_ = nullptr;
     if (!changes && control.isCancelled())
         co_return true;
     if (!changes) {
@@ -212,23 +212,23 @@
             log_.line(Event::HistoryLost)
                 .add("table", nameOf(table))
                 .add("position", static_cast<std::int64_t>(position.value()));
-            progress.needsAll_ = true;
+            progress.needsFullRead_ = true;
             co_return true;
         }
-        noteFailed(table, progress);
+        recordFailure(table, progress);
         co_return false;
     }
-    noteReached(table, progress, changes->revision_);
-    const bool isNews = !changes->rows_.empty();
+    recordSuccess(table, progress, changes->revision_);
+    const bool hasChanges = !changes->rows_.empty();
     knowledge_.apply(table, *changes, "store");
-    if (isNews) {
+    if (hasChanges) {
         changed_();
-        co_await Http::sleepFor(gatherTime(table));
+        co_await Http::sleepFor(batchDelay(table));
     }
     co_return true;
 }
 
-void StoreFollower::noteReached(StoreTable table, Progress &progress, Platform::Revision readUpTo)
+void StoreFollower::recordSuccess(StoreTable table, Progress &progress, Platform::Revision readUpTo)
 {
     if (!progress.isReached_)
         log_.line(Event::StoreBack).add("table", nameOf(table));
@@ -242,7 +242,7 @@
         progress.answeredSince_ = progress.confirmedAt_;
 }
 
-void StoreFollower::noteFailed(StoreTable table, Progress &progress)
+void StoreFollower::recordFailure(StoreTable table, Progress &progress)
 {
     progress.answeredSince_.reset();
     ++progress.failures_;
--- a/Libraries/LibSteering/StoreFollower.h
+++ b/Libraries/LibSteering/StoreFollower.h
@@ -30,7 +30,7 @@
     bool hasWaitedSince(StoreTable table, Model::SteadyTime time) const;
     /// Cancels the call that waits for a table's changes and sends a new one at once. Called when
     /// peers have changes that the waiting call should have returned.
-    void askAnew(StoreTable table);
+    void restartWaitingCall(StoreTable table);
     /// When a call for a table last succeeded.
     Model::SteadyTime confirmedAt(StoreTable table) const;
 
@@ -39,8 +39,8 @@
     struct Progress
     {
         bool isReached_ = false;
-        bool isAsking_ = true;
-        bool needsAll_ = true;
+        bool isReading_ = true;
+        bool needsFullRead_ = true;
         Model::SteadyTime confirmedAt_ = Model::longAgo;
         /// Since when every call has been answered; std::nullopt while no call has been answered
         /// since one failed or since this instance began to read the store.
@@ -51,23 +51,23 @@
         Platform::Revision readUpTo_;
         int failures_ = 0;
         /// The call that waits for changes, and since when; nullptr while none does.
-        Http::ExchangeControl *waiting_ = nullptr;
+        Http::ExchangeControl *waitingCall_ = nullptr;
         Model::SteadyTime waitingSince_;
         /// The previous call was considered failed and cancelled.
-        bool asksAnew_ = false;
+        bool isRestarted_ = false;
     };
 
     Http::Task<void> follow(StoreTable table);
     Progress &progressOf(StoreTable table);
     const Progress &progressOf(StoreTable table) const;
-    bool shouldAsk(StoreTable table, const Progress &progress) const;
-    void noteAsking(StoreTable table, Progress &progress, bool isAsking);
-    Model::Milliseconds waitFor(const Progress &progress) const;
-    Model::Milliseconds gatherTime(StoreTable table) const;
+    bool shouldRead(StoreTable table, const Progress &progress) const;
+    void setReading(StoreTable table, Progress &progress, bool isReading);
+    Model::Milliseconds waitTimeout(const Progress &progress) const;
+    Model::Milliseconds batchDelay(StoreTable table) const;
     Http::Task<bool> readAll(StoreTable table, Progress &progress);
     Http::Task<bool> readChanges(StoreTable table, Progress &progress);
-    void noteReached(StoreTable table, Progress &progress, Platform::Revision readUpTo);
-    void noteFailed(StoreTable table, Progress &progress);
+    void recordSuccess(StoreTable table, Progress &progress, Platform::Revision readUpTo);
+    void recordFailure(StoreTable table, Progress &progress);
 
     Http::asio::io_context &context_;
     const PlatformPort &port_;
--- a/Tests/LibSteering/TestKnowledge.cpp
+++ b/Tests/LibSteering/TestKnowledge.cpp
@@ -8,26 +8,26 @@
 using Model::Milliseconds;
 using Steering::StoreTable;
 
-class TestKnowledge : public CppUnit::TestFixture
+class TestPlatformState : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestKnowledge);
+    CPPUNIT_TEST_SUITE(TestPlatformState);
     CPPUNIT_TEST(lowerVersionIsNeverApplied);
-    CPPUNIT_TEST(unreadableTableLeavesTheOldOneInForce);
-    CPPUNIT_TEST(peersTellWhatIsNewer);
-    CPPUNIT_TEST(rowsThatAreNoTextReachPeers);
-    CPPUNIT_TEST(whoeverKnowsTheSameLacksNothing);
-    CPPUNIT_TEST(feedThatOvertakesAPeerIsIgnored);
-    CPPUNIT_TEST(leavingTargetGetsNothingEvenIfAnOldRowComesBack);
-    CPPUNIT_TEST(unregisteredTargetGoesAtOnceOnACalmDay);
-    CPPUNIT_TEST(lapsedTargetsAreUsedUntilTheyAreBack);
-    CPPUNIT_TEST(lapsedTargetsThatStayAwayAreDropped);
-    CPPUNIT_TEST(targetsThatLeaveTogetherOnACalmDayGetNothingInTime);
-    CPPUNIT_TEST(lateNewsOfRemovalsDoesNotProlongTheirUse);
-    CPPUNIT_TEST(registrationThatIsBackIsNoOldRemoval);
-    CPPUNIT_TEST(agesOfRemovalsReachPeersAndDamagedOnesAreIgnored);
-    CPPUNIT_TEST(outageOfLongAgoIsNoLapse);
-    CPPUNIT_TEST(targetThatLeavesAfterTheStoreReturnedGetsNothingInTime);
-    CPPUNIT_TEST(drainedDomainGetsNothing);
+    CPPUNIT_TEST(invalidTableKeepsThePreviousOneInForce);
+    CPPUNIT_TEST(peersSendNewerRows);
+    CPPUNIT_TEST(binaryRowsReachPeers);
+    CPPUNIT_TEST(peerWithTheSameRowsIsNotBehind);
+    CPPUNIT_TEST(staleStoreAnswerIsIgnored);
+    CPPUNIT_TEST(leavingTargetGetsNoRequestsAfterAStaleRow);
+    CPPUNIT_TEST(unregisteredTargetIsDroppedAtOnce);
+    CPPUNIT_TEST(expiredTargetsAreUsedUntilTheyRegisterAgain);
+    CPPUNIT_TEST(expiredTargetsThatDoNotReturnAreDropped);
+    CPPUNIT_TEST(targetsThatUnregisterTogetherAreDroppedInTime);
+    CPPUNIT_TEST(lateRemovalUpdateDoesNotExtendTheGracePeriod);
+    CPPUNIT_TEST(newRegistrationResetsTheRemovalAge);
+    CPPUNIT_TEST(removalAgesReachPeersAndInvalidOnesAreIgnored);
+    CPPUNIT_TEST(removalLongAfterAnOutageHasNoGracePeriod);
+    CPPUNIT_TEST(targetThatLeavesAfterTheStoreReturnsIsDroppedInTime);
+    CPPUNIT_TEST(drainedDomainGetsNoRequests);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -60,7 +60,7 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
     }
 
-    void unreadableTableLeavesTheOldOneInForce()
+    void invalidTableKeepsThePreviousOneInForce()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -70,36 +70,38 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
     }
 
-    void peersTellWhatIsNewer()
+    void peersSendNewerRows()
     {
-        Brain informed("r-a");
-        informed.tellOperators(7, 20, {"s-a"});
-        informed.tellTargets(21, fourTargets());
-        Brain cutOff("r-b");
-        cutOff.tellOperators(6, 12);
-        const std::string told = informed.knowledge_.forPeer(cutOff.knowledge_.held());
-        CPPUNIT_ASSERT(cutOff.knowledge_.takeFromPeer(told, "peer"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), cutOff.knowledge_.table()->version().value());
-        CPPUNIT_ASSERT(cutOff.knowledge_.drained().contains(Model::FailureDomainId("s-a")));
+        Brain upToDate("r-a");
+        upToDate.tellOperators(7, 20, {"s-a"});
+        upToDate.tellTargets(21, fourTargets());
+        Brain partitioned("r-b");
+        partitioned.tellOperators(6, 12);
+        const std::string encoded
+            = upToDate.knowledge_.encodeForPeer(partitioned.knowledge_.knownRevisions());
+        CPPUNIT_ASSERT(partitioned.knowledge_.applyFromPeer(encoded, "peer"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), partitioned.knowledge_.table()->version().value());
+        CPPUNIT_ASSERT(partitioned.knowledge_.drained().contains(Model::FailureDomainId("s-a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t(4),
-                             cutOff.knowledge_.mirror(StoreTable::Targets).rows().size());
-        CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer(told, "peer"));
-        CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer("nonsense", "peer"));
-        CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer(R"({"operators":{"rows":3}})", "peer"));
+                             partitioned.knowledge_.mirror(StoreTable::Targets).rows().size());
+        CPPUNIT_ASSERT(!partitioned.knowledge_.applyFromPeer(encoded, "peer"));
+        CPPUNIT_ASSERT(!partitioned.knowledge_.applyFromPeer("nonsense", "peer"));
+        CPPUNIT_ASSERT(
+            !partitioned.knowledge_.applyFromPeer(R"({"operators":{"rows":3}})", "peer"));
     }
 
     // Guards against instances that crash one after the other, each when a peer requests its rows:
     // another program has written a registration that is not valid text, which JSON cannot encode.
-    void rowsThatAreNoTextReachPeers()
+    void binaryRowsReachPeers()
     {
-        Brain informed("r-a");
-        informed.tellOperators(7, 20);
+        Brain upToDate("r-a");
+        upToDate.tellOperators(7, 20);
         auto list = fourTargets();
         list.push_back(Fakes::row("e", std::string("\xff\x00\xc3", 3), 21));
-        informed.tellTargets(21, list);
+        upToDate.tellTargets(21, list);
         Brain other("r-b");
-        CPPUNIT_ASSERT(other.knowledge_.takeFromPeer(
-            informed.knowledge_.forPeer(other.knowledge_.held()), "peer"));
+        CPPUNIT_ASSERT(other.knowledge_.applyFromPeer(
+            upToDate.knowledge_.encodeForPeer(other.knowledge_.knownRevisions()), "peer"));
         const auto &rows = other.knowledge_.mirror(StoreTable::Targets).rows();
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), rows.size());
         CPPUNIT_ASSERT_EQUAL(std::string("\xff\x00\xc3", 3), *rows.at("e").value_);
@@ -108,10 +110,10 @@
     // Guards against instances that request rows from each other ten times a second although
     // nothing changes: two read the store at different moments, and the revisions of these reads
     // are compared.
-    void whoeverKnowsTheSameLacksNothing()
+    void peerWithTheSameRowsIsNotBehind()
     {
         const auto lastChanges = [](const Brain &brain) {
-            return Steering::HeldPositions{
+            return Steering::KnownRevisions{
                 brain.knowledge_.mirror(StoreTable::Operators).lastChange(),
                 brain.knowledge_.mirror(StoreTable::Targets).lastChange()};
         };
@@ -121,19 +123,19 @@
         Brain late("r-b");
         late.tellOperators(7, 20);
         late.tellTargets(40, fourTargets());
-        CPPUNIT_ASSERT(!early.knowledge_.lacks(lastChanges(late)));
-        CPPUNIT_ASSERT(!late.knowledge_.lacks(lastChanges(early)));
+        CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(!late.knowledge_.isBehind(lastChanges(early)));
         late.knowledge_.apply(StoreTable::Targets,
                               Fakes::rows(45, {Fakes::target("e", "gauging", "r-a", 45)}), "test");
-        CPPUNIT_ASSERT(early.knowledge_.lacks(lastChanges(late)));
-        CPPUNIT_ASSERT(early.knowledge_.takeFromPeer(
-            late.knowledge_.forPeer(early.knowledge_.held()), "peer"));
-        CPPUNIT_ASSERT(!early.knowledge_.lacks(lastChanges(late)));
+        CPPUNIT_ASSERT(early.knowledge_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(early.knowledge_.applyFromPeer(
+            late.knowledge_.encodeForPeer(early.knowledge_.knownRevisions()), "peer"));
+        CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
     }
 
     // Guards against using a target again that has left: while a call waits at the store, a peer
     // reports the leaving; the call's late answer, at an older revision, has the older row.
-    void feedThatOvertakesAPeerIsIgnored()
+    void staleStoreAnswerIsIgnored()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -147,7 +149,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    void leavingTargetGetsNothingEvenIfAnOldRowComesBack()
+    void leavingTargetGetsNoRequestsAfterAStaleRow()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -157,7 +159,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), usable(brain, "gauging"));
     }
 
-    void unregisteredTargetGoesAtOnceOnACalmDay()
+    void unregisteredTargetIsDroppedAtOnce()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -172,7 +174,7 @@
     // outlasts the registrations' time to live, the store returns without them, and the targets,
     // which never stopped, register again within two seconds. An expired registration is not a
     // departure.
-    void lapsedTargetsAreUsedUntilTheyAreBack()
+    void expiredTargetsAreUsedUntilTheyRegisterAgain()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -193,7 +195,7 @@
 
     // Guards against sending requests to a target that left during a store outage: as above, but
     // one target does not register again, and the wait for it has no limit.
-    void lapsedTargetsThatStayAwayAreDropped()
+    void expiredTargetsThatDoNotReturnAreDropped()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -214,7 +216,7 @@
     // the limit is 2.5 s. Three targets unregister at the same moment without announcing it, the
     // store has not failed, and changes are batched for half a second. Two seconds of grace for
     // apparently expired registrations, on top of the propagation time, exceed the limit.
-    void targetsThatLeaveTogetherOnACalmDayGetNothingInTime()
+    void targetsThatUnregisterTogetherAreDroppedInTime()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -222,15 +224,15 @@
         brain.tellTargets(21, list);
         list.resize(1);
         brain.tellTargets(22, list);
-        const auto newsTakes = Milliseconds(700);
-        brain.now_ += Milliseconds(2500) - newsTakes - Milliseconds(300);
+        const auto propagationTime = Milliseconds(700);
+        brain.now_ += Milliseconds(2500) - propagationTime - Milliseconds(300);
         brain.dropMissing();
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
     }
 
     // Guards against a grace period that begins when the update arrives, although peers have
     // noticed the removal before.
-    void lateNewsOfRemovalsDoesNotProlongTheirUse()
+    void lateRemovalUpdateDoesNotExtendTheGracePeriod()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -246,7 +248,7 @@
     }
 
     // Guards against a grace period that is shortened by the age of an earlier removal.
-    void registrationThatIsBackIsNoOldRemoval()
+    void newRegistrationResetsTheRemovalAge()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -261,18 +263,19 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
     }
 
-    void agesOfRemovalsReachPeersAndDamagedOnesAreIgnored()
+    void removalAgesReachPeersAndInvalidOnesAreIgnored()
     {
         Brain brain("r-a");
         const Steering::RemovalAges ages = {{"a", Milliseconds(70)}, {"b", Milliseconds(0)}};
-        CPPUNIT_ASSERT(Steering::removalsFromPeer(brain.knowledge_.forPeer({}, ages)) == ages);
-        CPPUNIT_ASSERT(Steering::removalsFromPeer(brain.knowledge_.forPeer({})).empty());
-        CPPUNIT_ASSERT(Steering::removalsFromPeer("damaged").empty());
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(brain.knowledge_.encodeForPeer({}, ages))
+                       == ages);
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(brain.knowledge_.encodeForPeer({})).empty());
+        CPPUNIT_ASSERT(Steering::parseRemovalAges("damaged").empty());
     }
 
     // The same case three seconds after a store failure: by then every running target has
     // registered again, so a missing one gets no grace period.
-    void outageOfLongAgoIsNoLapse()
+    void removalLongAfterAnOutageHasNoGracePeriod()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -288,7 +291,7 @@
 
     // Guards against a grace period that starts with the update on a removal, not with the store's
     // return.
-    void targetThatLeavesAfterTheStoreReturnedGetsNothingInTime()
+    void targetThatLeavesAfterTheStoreReturnsIsDroppedInTime()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -298,8 +301,8 @@
         brain.now_ += Milliseconds(5000);
         brain.regainStore();
         const auto left = brain.now_ + Milliseconds(300);
-        const auto newsTakes = Milliseconds(700);
-        brain.now_ = left + newsTakes;
+        const auto propagationTime = Milliseconds(700);
+        brain.now_ = left + propagationTime;
         list.pop_back();
         brain.tellTargets(22, list);
         brain.now_ = left + Milliseconds(2500);
@@ -307,7 +310,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    void drainedDomainGetsNothing()
+    void drainedDomainGetsNoRequests()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20, {"r-a"});
@@ -320,4 +323,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestKnowledge);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestPlatformState);
--- a/Tests/LibSteering/TestPeers.cpp
+++ b/Tests/LibSteering/TestPeers.cpp
@@ -27,15 +27,15 @@
     return {Revision(revision), std::move(list)};
 }
 
-class TestMirror : public CppUnit::TestFixture
+class TestTableReplica : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestMirror);
+    CPPUNIT_TEST_SUITE(TestTableReplica);
     CPPUNIT_TEST(changesInAnyOrderLeadToTheSameRows);
-    CPPUNIT_TEST(peersGetChangesAloneWhereTheyAreKnown);
+    CPPUNIT_TEST(peersGetOnlyChangesWhereTheyAreKnown);
     CPPUNIT_TEST(removalIsNotUndoneByAnOlderRow);
-    CPPUNIT_TEST(rowsReadAnewAreTheSameAsChanges);
-    CPPUNIT_TEST(positionMovesWithoutAChange);
-    CPPUNIT_TEST(removalsAreForgottenInTheEnd);
+    CPPUNIT_TEST(fullReadCountsAsChanges);
+    CPPUNIT_TEST(revisionAdvancesWithoutAChange);
+    CPPUNIT_TEST(oldRemovalsAreForgotten);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -43,14 +43,14 @@
     {
         Support::assertProperty("rows are those of the last change of each key", [] {
             std::vector<StoredRow> history;
-            std::map<std::string, StoredRow> truth;
+            std::map<std::string, StoredRow> expected;
             const int changes = *rc::gen::inRange(1, 30);
             for (int i = 1; i <= changes; ++i) {
                 const std::string key = "k" + std::to_string(*rc::gen::inRange(0, 5));
                 const bool isRemoved = *rc::gen::inRange(0, 3) == 0;
                 const auto revision = static_cast<std::uint64_t>(i);
                 history.push_back(isRemoved ? removed(key, revision) : present(key, revision));
-                truth[key] = history.back();
+                expected[key] = history.back();
             }
             Mirror mirror;
             mirror.replace(rows(0, {}));
@@ -62,7 +62,7 @@
                     from, {history.begin() + static_cast<std::ptrdiff_t>(from), history.end()}));
             }
             mirror.apply(rows(static_cast<std::uint64_t>(changes), history));
-            for (const auto &[key, row] : truth) {
+            for (const auto &[key, row] : expected) {
                 const auto held = mirror.rows().find(key);
                 RC_ASSERT((held != mirror.rows().end()) == row.value_.has_value());
                 if (row.value_)
@@ -71,7 +71,7 @@
         });
     }
 
-    void peersGetChangesAloneWhereTheyAreKnown()
+    void peersGetOnlyChangesWhereTheyAreKnown()
     {
         Mirror mirror;
         mirror.replace(rows(10, {present("a", 4), present("b", 9)}));
@@ -105,7 +105,7 @@
     // Guards against a hundred peers that fetch all rows, a megabyte each, from the few store
     // readers when the store has lost its history: a reader reads all rows again, its peers request
     // changes, and all rows are considered changed and earlier removals unknown.
-    void rowsReadAnewAreTheSameAsChanges()
+    void fullReadCountsAsChanges()
     {
         Mirror mirror;
         mirror.replace(rows(10, {present("a", 4), present("b", 9)}));
@@ -125,7 +125,7 @@
         CPPUNIT_ASSERT(mirror.lastChange() == before);
     }
 
-    void positionMovesWithoutAChange()
+    void revisionAdvancesWithoutAChange()
     {
         Mirror mirror;
         mirror.replace(rows(10, {present("a", 4)}));
@@ -134,21 +134,21 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), mirror.lastChange().value());
     }
 
-    void removalsAreForgottenInTheEnd()
+    void oldRemovalsAreForgotten()
     {
         Mirror mirror;
         mirror.replace(rows(0, {}));
-        constexpr std::uint64_t many = 10000;
-        for (std::uint64_t i = 1; i <= many; ++i)
+        constexpr std::uint64_t count = 10000;
+        for (std::uint64_t i = 1; i <= count; ++i)
             mirror.apply(rows(i, {removed("k" + std::to_string(i), i)}));
         CPPUNIT_ASSERT(!mirror.changesSince(Revision(1)));
-        const auto late = mirror.changesSince(Revision(many - 100));
+        const auto late = mirror.changesSince(Revision(count - 100));
         CPPUNIT_ASSERT(late);
         CPPUNIT_ASSERT_EQUAL(std::size_t(100), late->rows_.size());
     }
 };
 
-Policy::Member someMember(const std::string &id)
+Policy::Member makeMember(const std::string &id)
 {
     Policy::Member member;
     member.instance_.id_ = Model::InstanceId(id);
@@ -156,65 +156,65 @@
     member.instance_.domain_ = Model::FailureDomainId("koper-a");
     member.instance_.addresses_.entry_ = {"10.1.0.35", 8144};
     member.instance_.addresses_.control_ = {"10.1.0.35", 8146};
-    auto &pulse = member.pulse_;
-    pulse.id_ = member.instance_.id_;
-    pulse.incarnation_ = Model::Incarnation(1764700000000000000);
-    pulse.heartbeat_ = 1234;
-    pulse.isReady_ = true;
-    pulse.store_ = Policy::StoreContact::Reached;
-    pulse.operatorsSeen_ = 77;
-    pulse.targetsSeen_ = 4567;
-    pulse.regionEntries_ = 20;
-    pulse.age_ = Milliseconds(350);
-    pulse.storeAnswered_ = Milliseconds(3'600'000);
-    pulse.targetsRead_ = 4560;
+    auto &heartbeatRecord = member.pulse_;
+    heartbeatRecord.id_ = member.instance_.id_;
+    heartbeatRecord.incarnation_ = Model::Incarnation(1764700000000000000);
+    heartbeatRecord.heartbeat_ = 1234;
+    heartbeatRecord.isReady_ = true;
+    heartbeatRecord.store_ = Policy::StoreContact::Reached;
+    heartbeatRecord.operatorsSeen_ = 77;
+    heartbeatRecord.targetsSeen_ = 4567;
+    heartbeatRecord.regionEntries_ = 20;
+    heartbeatRecord.age_ = Milliseconds(350);
+    heartbeatRecord.storeAnswered_ = Milliseconds(3'600'000);
+    heartbeatRecord.targetsRead_ = 4560;
     return member;
 }
 
 class TestPeerMessage : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestPeerMessage);
-    CPPUNIT_TEST(messagesComeBackAsTheyWere);
-    CPPUNIT_TEST(anyBytesAreReadOrRefused);
-    CPPUNIT_TEST(pulsesAreSmall);
+    CPPUNIT_TEST(messagesRoundTrip);
+    CPPUNIT_TEST(damagedBytesAreDecodedOrRefused);
+    CPPUNIT_TEST(heartbeatRecordsAreSmall);
     CPPUNIT_TEST(messagesOfAnEarlierVersionAreRead);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     static constexpr SteadyTime now{std::chrono::hours(1)};
 
-    void messagesComeBackAsTheyWere()
+    void messagesRoundTrip()
     {
-        PeerMessage message{someMember("front-koper-a-1"), {}, {}};
-        message.news_.whole_.push_back(someMember("front-koper-a-2"));
-        message.news_.pulses_.push_back(someMember("front-koper-a-3").pulse_);
+        PeerMessage message{makeMember("front-koper-a-1"), {}, {}};
+        message.update_.whole_.push_back(makeMember("front-koper-a-2"));
+        message.update_.pulses_.push_back(makeMember("front-koper-a-3").pulse_);
         message.loads_.push_back({0xfedcba98, 9, Milliseconds(120)});
         const auto read = Steering::peerMessageFromBytes(toBytes(message), now);
         CPPUNIT_ASSERT(read);
         CPPUNIT_ASSERT(read->sender_.instance_ == message.sender_.instance_);
         CPPUNIT_ASSERT(read->sender_.heardAt_ == now - Milliseconds(350));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), read->news_.whole_.size());
-        const auto &pulse = read->news_.pulses_.at(0);
-        CPPUNIT_ASSERT_EQUAL(std::string("front-koper-a-3"), pulse.id_.value());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1234), pulse.heartbeat_);
-        CPPUNIT_ASSERT(pulse.isReady_ && !pulse.isLeaving_);
-        CPPUNIT_ASSERT(pulse.store_ == Policy::StoreContact::Reached);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(4567), pulse.targetsSeen_);
-        CPPUNIT_ASSERT(pulse.storeAnswered_ == Milliseconds(3'600'000));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(4560), pulse.targetsRead_);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), read->update_.whole_.size());
+        const auto &heartbeatRecord = read->update_.pulses_.at(0);
+        CPPUNIT_ASSERT_EQUAL(std::string("front-koper-a-3"), heartbeatRecord.id_.value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1234), heartbeatRecord.heartbeat_);
+        CPPUNIT_ASSERT(heartbeatRecord.isReady_ && !heartbeatRecord.isLeaving_);
+        CPPUNIT_ASSERT(heartbeatRecord.store_ == Policy::StoreContact::Reached);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(4567), heartbeatRecord.targetsSeen_);
+        CPPUNIT_ASSERT(heartbeatRecord.storeAnswered_ == Milliseconds(3'600'000));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(4560), heartbeatRecord.targetsRead_);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), read->loads_.size());
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(0xfedcba98), read->loads_[0].target_);
         CPPUNIT_ASSERT_EQUAL(std::uint32_t(9), read->loads_[0].inProgress_);
         CPPUNIT_ASSERT(read->loads_[0].age_ == Milliseconds(120));
 
-        const auto record = Steering::memberFromText(Steering::toText(someMember("x")), now);
+        const auto record = Steering::memberFromText(Steering::toText(makeMember("x")), now);
         CPPUNIT_ASSERT(record);
         CPPUNIT_ASSERT_EQUAL(std::string("x"), record->instance_.id_.value());
     }
 
-    void anyBytesAreReadOrRefused()
+    void damagedBytesAreDecodedOrRefused()
     {
-        const std::string sound = Steering::toBytes({someMember("front-koper-a-1"), {}, {}});
+        const std::string sound = Steering::toBytes({makeMember("front-koper-a-1"), {}, {}});
         Support::assertProperty("damaged messages never throw", [&] {
             std::string bytes = sound;
             const int damages = *rc::gen::inRange(1, 4);
@@ -234,11 +234,11 @@
     void messagesOfAnEarlierVersionAreRead()
     {
         auto text = nlohmann::json::from_msgpack(
-            Steering::toBytes({someMember("front-koper-a-1"), {}, {}}));
+            Steering::toBytes({makeMember("front-koper-a-1"), {}, {}}));
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), text.erase("loads"));
-        auto &pulse = text["sender"]["pulse"];
-        pulse.erase(pulse.size() - 1);
-        pulse.erase(pulse.size() - 1);
+        auto &heartbeatRecord = text["sender"]["pulse"];
+        heartbeatRecord.erase(heartbeatRecord.size() - 1);
+        heartbeatRecord.erase(heartbeatRecord.size() - 1);
         std::string bytes;
         nlohmann::json::to_msgpack(text, bytes);
         const auto read = Steering::peerMessageFromBytes(bytes, now);
@@ -249,21 +249,21 @@
 
     // Guards against gossip that fills a link of 10 Mbit/s as the fleet grows, because every
     // message has full member records.
-    void pulsesAreSmall()
+    void heartbeatRecordsAreSmall()
     {
-        PeerMessage message{someMember("front-koper-a-1"), {}, {}};
+        PeerMessage message{makeMember("front-koper-a-1"), {}, {}};
         const auto bare = toBytes(message).size();
-        constexpr std::size_t many = 100;
-        for (std::size_t i = 0; i < many; ++i)
-            message.news_.pulses_.push_back(someMember("front-koper-a-10").pulse_);
-        CPPUNIT_ASSERT(toBytes(message).size() - bare < 50 * many);
+        constexpr std::size_t count = 100;
+        for (std::size_t i = 0; i < count; ++i)
+            message.update_.pulses_.push_back(makeMember("front-koper-a-10").pulse_);
+        CPPUNIT_ASSERT(toBytes(message).size() - bare < 50 * count);
     }
 };
 
 class TestPeerTraffic : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestPeerTraffic);
-    CPPUNIT_TEST(bytesAreCountedByHowFarTheyGo);
+    CPPUNIT_TEST(bytesAreCountedByScope);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -275,13 +275,13 @@
         return instance;
     }
 
-    void bytesAreCountedByHowFarTheyGo()
+    void bytesAreCountedByScope()
     {
-        using enum Steering::Reach;
+        using enum Steering::CallScope;
         const auto own = in("r", "r-a");
-        CPPUNIT_ASSERT(Steering::reachOf(own, in("r", "r-a")) == Domain);
-        CPPUNIT_ASSERT(Steering::reachOf(own, in("r", "r-b")) == Region);
-        CPPUNIT_ASSERT(Steering::reachOf(own, in("s", "s-a")) == Fleet);
+        CPPUNIT_ASSERT(Steering::scopeOf(own, in("r", "r-a")) == Domain);
+        CPPUNIT_ASSERT(Steering::scopeOf(own, in("r", "r-b")) == Region);
+        CPPUNIT_ASSERT(Steering::scopeOf(own, in("s", "s-a")) == Fleet);
         Steering::PeerTraffic traffic;
         const auto gossip = Steering::PeerCall::Gossip;
         Steering::countBytes(traffic, gossip, Region, 100);
@@ -295,5 +295,5 @@
 } // namespace
 
 CPPUNIT_TEST_SUITE_REGISTRATION(TestPeerTraffic);
-CPPUNIT_TEST_SUITE_REGISTRATION(TestMirror);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestTableReplica);
 CPPUNIT_TEST_SUITE_REGISTRATION(TestPeerMessage);
