--- a/Libraries/LibSteering/Knowledge.h
+++ b/Libraries/LibSteering/Knowledge.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Mirror.h"
 #include "PlatformPort.h"
+#include "TableReplica.h"
 
 #include <LibObserve/LibObserve.h>
 
--- a/Libraries/LibSteering/Mirror.cpp
+++ b/Libraries/LibSteering/TableReplica.cpp
@@ -1,4 +1,4 @@
-#include "Mirror.h"
+#include "TableReplica.h"
 
 #include <algorithm>
 #include <set>
