--- a/Libraries/LibSteering/Instance.cpp
+++ b/Libraries/LibSteering/Instance.cpp
@@ -205,11 +205,11 @@
 
 void Instance::platformStateChanged()
 {
-    auto &knowledge = parts_->knowledge_;
-    if (seenTableChanges_ != knowledge.tableChanges()) {
-        seenTableChanges_ = knowledge.tableChanges();
+    auto &platformState = parts_->knowledge_;
+    if (seenTableChanges_ != platformState.tableChanges()) {
+        seenTableChanges_ = platformState.tableChanges();
         parts_->placer_.tableChanged();
-        parts_->entry_.setLimits(entryLimits(knowledge.table()->callerLimits()));
+        parts_->entry_.setLimits(entryLimits(platformState.table()->callerLimits()));
     }
     parts_->peers_.setStoreStanding(parts_->follower_.standing());
     parts_->book_.update(steadyNow(), parts_->peers_.storeEvidence());
--- a/Libraries/LibSteering/Knowledge.h
+++ b/Libraries/LibSteering/Knowledge.h
@@ -57,9 +57,9 @@
     /// Tells whether an instance whose last changes are these holds rows that are missing here.
     ///
     /// Compares a peer's last changes with the local revisions, up to which every change is known.
-    /// If two revisions were compared, two instances that read the store at different moments of a
-    /// quiet hour would differ while they hold the same rows, and the one with the lower revision
-    /// would send the other useless requests ten times a second.
+    /// If last changes were compared with each other, two instances that read the store at
+    /// different moments of a quiet hour would differ although they hold the same rows, and the one
+    /// with the lower one would request rows from the other ten times a second, to no effect.
     bool isBehind(const KnownRevisions &lastChanges) const;
     /// Returns the rows that a peer at these revisions is missing, as a text that applyFromPeer()
     /// reads: only the changes where they are known, else all rows. The text includes \a removals,
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -34,10 +34,10 @@
 } // namespace
 
 PeerExchange::PeerExchange(Http::asio::io_context &context, const Observe::Settings &settings,
-                           Knowledge &knowledge, Observe::DecisionLog &log)
+                           Knowledge &platformState, Observe::DecisionLog &log)
     : context_(context)
     , settings_(settings)
-    , knowledge_(knowledge)
+    , knowledge_(platformState)
     , log_(log)
     , server_(context, peerLimits(),
               [this](Http::IncomingRequest request) {
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -21,7 +21,7 @@
 {
 public:
     PeerExchange(Http::asio::io_context &context, const Observe::Settings &settings,
-                 Knowledge &knowledge, Observe::DecisionLog &log);
+                 Knowledge &platformState, Observe::DecisionLog &log);
 
     /// Begins to listen and to gossip. Returns false, with the last reason set, if it cannot
     /// listen.
--- a/Libraries/LibSteering/StoreFollower.cpp
+++ b/Libraries/LibSteering/StoreFollower.cpp
@@ -47,12 +47,12 @@
 } // namespace
 
 StoreFollower::StoreFollower(Http::asio::io_context &context, const PlatformPort &port,
-                             Knowledge &knowledge, Observe::DecisionLog &log,
+                             Knowledge &platformState, Observe::DecisionLog &log,
                              std::function<void()> changed,
                              std::function<Policy::ReaderRank()> rank)
     : context_(context)
     , port_(port)
-    , knowledge_(knowledge)
+    , knowledge_(platformState)
     , log_(log)
     , changed_(std::move(changed))
     , rank_(std::move(rank))
--- a/Libraries/LibSteering/StoreFollower.h
+++ b/Libraries/LibSteering/StoreFollower.h
@@ -14,9 +14,9 @@
 {
 public:
     /// Calls \a changed after recording any rows, and \a rank before each call to the store.
-    StoreFollower(Http::asio::io_context &context, const PlatformPort &port, Knowledge &knowledge,
-                  Observe::DecisionLog &log, std::function<void()> changed,
-                  std::function<Policy::ReaderRank()> rank);
+    StoreFollower(Http::asio::io_context &context, const PlatformPort &port,
+                  Knowledge &platformState, Observe::DecisionLog &log,
+                  std::function<void()> changed, std::function<Policy::ReaderRank()> rank);
 
     void start();
     void stop() { isStopping_ = true; }
--- a/Libraries/LibSteering/TableReplica.cpp
+++ b/Libraries/LibSteering/TableReplica.cpp
@@ -106,18 +106,18 @@
     });
 }
 
-std::optional<StoredRows> Mirror::changesSince(Revision position) const
+std::optional<StoredRows> Mirror::changesSince(Revision since) const
 {
-    if (!isKnown_ || position < removalsKnownSince_)
+    if (!isKnown_ || since < removalsKnownSince_)
         return std::nullopt;
     StoredRows changes;
     changes.revision_ = knownRevision_;
     for (const auto &[key, row] : rows_) {
-        if (row.revision_ > position)
+        if (row.revision_ > since)
             changes.rows_.push_back(row);
     }
     for (const auto &[key, revision] : removedAt_) {
-        if (revision > position)
+        if (revision > since)
             changes.rows_.push_back({key, std::nullopt, revision});
     }
     return changes;
