--- a/Libraries/LibSteering/Instance.h
+++ b/Libraries/LibSteering/Instance.h
@@ -8,49 +8,48 @@
 
 namespace Steering {
 
-/// Everything that one instance runs, in one process and on one thread: it takes callers' requests,
-/// tells callers which entries to use, and keeps in step with the store and with its peers.
+/// One whole instance in one process and on one thread: serves callers' requests, answers look-ups,
+/// follows the store and gossips with its peers.
 ///
 /// Thread safety: none; run() serves until a planned stop is done.
 class Instance
 {
 public:
-    /// \a settingsPath is read again on SIGHUP.
+    /// SIGHUP reloads the settings from \a settingsPath.
     Instance(const Observe::Settings &settings, std::string settingsPath);
     ~Instance();
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /// Sets how the platform is spoken to. Called once, before start().
+    /// Sets the adapter to the platform. Precondition: called once, before start().
     void usePlatform(PlatformPort port);
-    /// The store's client for the port's calls.
+    /// The store client that the port's calls use.
     Platform::Store &store() { return store_; }
 
-    /// Begins to serve. Returns false if an address cannot be listened on, with the last reason
-    /// set.
+    /// Begins to serve. Returns false, with the last reason set, if it cannot listen on an address.
     bool start();
-    /// Serves until a stop signal has been followed to its end.
+    /// Serves until the graceful stop that a signal has requested is complete.
     void run();
 
 private:
     struct Parts;
 
     Http::Task<void> tickLoop();
-    Http::Task<void> introduce();
+    Http::Task<void> discoverInstances();
     Http::Task<bool> writeOwnRecord();
     Http::Task<void> readRecords();
-    Http::Task<void> keepQuarantines();
+    Http::Task<void> syncQuarantines();
     Http::Task<void> writeQuarantines();
-    void logInstancesLost();
-    Http::Task<void> stopGently();
+    void logRecordsUnavailable();
+    Http::Task<void> stopGracefully();
     Http::Task<Http::Response> answerLookup(Http::IncomingRequest request);
     Http::Task<Http::Response> answerReady(Http::IncomingRequest request);
     Http::Task<Http::Response> answerAdmin(Http::IncomingRequest request);
     Http::Response answerQuarantines(const Http::Request &request);
-    void awaitSignal();
-    void knowledgeChanged();
-    void countEntries();
-    void checkClocks();
+    void waitForSignal();
+    void platformStateChanged();
+    void updateEntryCounts();
+    void detectSuspend();
     void reload();
     void updateReadiness();
     std::string metricsText() const;
@@ -64,13 +63,13 @@
     Observe::DecisionLog log_;
     PlatformPort port_;
     std::unique_ptr<Parts> parts_;
-    std::uint64_t tableSeen_ = 0;
-    /// How far the clock that counts standstills is ahead of the one that does not.
+    std::uint64_t seenTableChanges_ = 0;
+    /// How far CLOCK_BOOTTIME, which advances during a suspend, is ahead of CLOCK_MONOTONIC.
     Model::Microseconds clockGap_{0};
-    Model::SteadyTime sparesSeenAt_ = Model::longAgo;
+    Model::SteadyTime idleRefreshedAt_ = Model::longAgo;
     bool isReady_ = false;
-    /// Its record stands in the store.
-    bool isIntroduced_ = false;
+    /// The store holds this instance's record.
+    bool isRecordStored_ = false;
     bool isStopping_ = false;
     Model::SteadyTime startedAt_ = Model::longAgo;
 };
--- a/Libraries/LibSteering/InstanceParts.cpp
+++ b/Libraries/LibSteering/InstanceParts.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-/// Requests of one connection that are worked on at the same time.
+/// Requests of one connection that are processed concurrently.
 constexpr std::size_t pipelineDepth = 16;
-/// Callers are allowed this much more than the table's idle limit, so that none finds its
-/// connection closed at the very moment that it uses it.
-constexpr Milliseconds idleSlack{2000};
+/// Added to the table's idle limit, so that a caller that keeps the limit does not use a connection
+/// at the moment it is closed.
+constexpr Milliseconds idleTimeoutMargin{2000};
 
 } // namespace
 
@@ -19,7 +19,7 @@
     Http::ServerLimits result;
     result.headBytes_ = limits.headBytes_;
     result.bodyBytes_ = limits.bodyBytes_;
-    result.idle_ = limits.idle_ + idleSlack;
+    result.idle_ = limits.idle_ + idleTimeoutMargin;
     result.request_ = limits.request_;
     result.pipelineDepth_ = pipelineDepth;
     return result;
@@ -35,7 +35,7 @@
     , follower_(
           instance.context_, instance.port_, knowledge_, instance.log_,
           [&instance] {
-              instance.knowledgeChanged();
+              instance.platformStateChanged();
           },
           [this] {
               return peers_.readerRank();
--- a/Libraries/LibSteering/InstanceRecords.cpp
+++ b/Libraries/LibSteering/InstanceRecords.cpp
@@ -9,20 +9,21 @@
 
 namespace {
 
-/// How often an instance looks whether it has to find others through the store: a round of asking
-/// seeds and its answers fit into it.
-constexpr Milliseconds introductionPause{500};
-/// Until then everybody that starts with the others takes itself for a reader.
-constexpr Milliseconds settlingTime{3000};
-/// Between two reads of the instances' records while nobody is known, and while some region is
-/// silent: regions may lose each other for an hour and find each other by these.
-constexpr Milliseconds pauseWhileAlone{2000};
-constexpr Milliseconds pauseWhileApart{30000};
+/// Interval between checks for whether other instances have to be discovered through the store. A
+/// gossip round with the seeds completes within it.
+constexpr Milliseconds discoveryInterval{500};
+/// Before this age, instances that start together all consider themselves store readers.
+constexpr Milliseconds readerSettlingTime{3000};
+/// Intervals between two reads of the instances' records: while no other instance is alive, and
+/// while some region has no live instance. Regions that lose contact for an hour rediscover each
+/// other through these records.
+constexpr Milliseconds readIntervalWhileAlone{2000};
+constexpr Milliseconds readIntervalWhilePartitioned{30000};
 
-/// How long a fresh instance waits to hear which requests are in quarantine, where neither the
-/// store nor a ready peer tells; and the pause between two attempts to read or write it.
-constexpr Milliseconds quarantinePatience{1500};
-constexpr Milliseconds quarantinePause{300};
+/// How long a newly started instance waits for the list of quarantined requests when neither the
+/// store nor a ready peer sends it; and the interval between two attempts to read or write it.
+constexpr Milliseconds quarantineReadTimeout{1500};
+constexpr Milliseconds quarantineInterval{300};
 
 SteadyTime steadyNow()
 {
@@ -36,23 +37,23 @@
 
 } // namespace
 
-/// Finds other instances through the store where the seeds do not lead to any, and makes this one
-/// known there if it is one of those that read the store: they are enough to be found by.
-Task<void> Instance::introduce()
+/// Discovers other instances through the store where the seeds lead to none, and registers this one
+/// there if it is a store reader: the readers' records suffice for discovery.
+Task<void> Instance::discoverInstances()
 {
     auto readAt = startedAt_;
     while (!isStopping_) {
-        co_await Http::sleepFor(introductionPause);
+        co_await Http::sleepFor(discoveryInterval);
         const auto now = steadyNow();
-        const bool isAlone = !parts_->peers_.knowsAnyone();
+        const bool isAlone = !parts_->peers_.hasLivePeer();
         const bool isReader = parts_->follower_.contact() == Policy::StoreContact::Reached;
-        const bool isSettled = now - startedAt_ > settlingTime;
-        if (!isIntroduced_ && isReader && (isAlone || isSettled)) {
-            isIntroduced_ = co_await writeOwnRecord();
+        const bool isSettled = now - startedAt_ > readerSettlingTime;
+        if (!isRecordStored_ && isReader && (isAlone || isSettled)) {
+            isRecordStored_ = co_await writeOwnRecord();
         }
-        const auto pause = isAlone ? pauseWhileAlone : pauseWhileApart;
-        const bool isDue = now - readAt > pause || (isAlone && readAt == startedAt_);
-        if (isDue && (isAlone || !parts_->peers_.knowsEveryRegion())) {
+        const auto interval = isAlone ? readIntervalWhileAlone : readIntervalWhilePartitioned;
+        const bool isDue = now - readAt > interval || (isAlone && readAt == startedAt_);
+        if (isDue && (isAlone || !parts_->peers_.hasLiveMemberInEveryRegion())) {
             readAt = now;
             co_await readRecords();
         }
@@ -62,9 +63,9 @@
 Task<bool> Instance::writeOwnRecord()
 {
     const bool isWritten
-        = co_await port_.writeInstance_(settings_.instance_.value(), parts_->peers_.ownRecord());
+        = co_await port_.writeInstance_(settings_.instance_.value(), parts_->peers_.localRecord());
     if (!isWritten)
-        logInstancesLost();
+        logRecordsUnavailable();
     co_return isWritten;
 }
 
@@ -72,26 +73,26 @@
 {
     const auto records = co_await port_.readInstances_();
     if (!records) {
-        logInstancesLost();
+        logRecordsUnavailable();
         co_return;
     }
     for (const auto &record : *records)
         parts_->peers_.addRecord(record);
 }
 
-void Instance::logInstancesLost()
+void Instance::logRecordsUnavailable()
 {
     log_.line(Event::StoreLost)
         .add("table", "instances")
         .add("reason", toText(Model::lastReason()));
 }
 
-/// Learns which requests are in quarantine when it starts, from the store or from a ready peer, and
-/// writes what changes.
+/// Loads the quarantined requests at the start, from the store or from a ready peer, and then
+/// writes changes to the store.
 ///
-/// What goes wrong without the store: all instances are killed at the same time, none knows what
-/// ended targets before, and targets end under it again.
-Task<void> Instance::keepQuarantines()
+/// Without the store, when all instances are killed at the same time, none knows which requests
+/// have crashed targets, and the same requests crash targets again.
+Task<void> Instance::syncQuarantines()
 {
     while (!parts_->guard_.isInformed()) {
         const auto records = co_await port_.readQuarantines_();
@@ -100,12 +101,12 @@
             break;
         }
         log_.line(Event::QuarantinesUnread).add("reason", toText(Model::lastReason()));
-        if (steadyNow() - startedAt_ > quarantinePatience)
+        if (steadyNow() - startedAt_ > quarantineReadTimeout)
             parts_->guard_.setInformed();
-        co_await Http::sleepFor(quarantinePause);
+        co_await Http::sleepFor(quarantineInterval);
     }
     while (!isStopping_) {
-        co_await Http::sleepFor(quarantinePause);
+        co_await Http::sleepFor(quarantineInterval);
         co_await writeQuarantines();
     }
 }
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -10,96 +10,102 @@
 
 namespace Steering {
 
-/// Tells other instances what this one knows of all, and hears the same from them.
+/// Gossips with other instances about all members, loads and crashes.
 ///
-/// Each round asks a few instances drawn by chance, most of them in the own region, so news reaches
-/// all in a few rounds and the cost for each instance does not grow with their number. Whoever
-/// hears that a peer knows newer rows of the store asks it for them.
+/// Each round exchanges messages with a few instances chosen at random, most of them in the local
+/// region, so an update reaches all instances in a few rounds and the cost for each instance does
+/// not grow with their number. An instance that learns that a peer has newer rows of the store
+/// requests them from it.
 /// Thread safety: none; runs on one thread's io_context, which must end before the object does.
 class PeerExchange
 {
 public:
     PeerExchange(Http::asio::io_context &context, const Observe::Settings &settings,
-                 Knowledge &knowledge, Observe::DecisionLog &log);
+                 Knowledge &platformState, Observe::DecisionLog &log);
 
-    /// Begins to listen and to ask. Returns false if it cannot listen, with the last reason set.
+    /// Begins to listen and to gossip. Returns false, with the last reason set, if it cannot
+    /// listen.
     bool start();
 
-    /// Says of this instance, from now on, whether it takes callers' requests or is leaving.
+    /// Sets whether this instance is announced as ready for callers' requests or as leaving.
     void setReady(bool isReady) { isReady_ = isReady; }
     void setLeaving();
 
-    /// Called whenever it may have changed how this instance stands with the store.
+    /// Called whenever this instance's contact with the store may have changed.
     void setStoreStanding(const Policy::StoreStanding &standing) { store_ = standing; }
-    /// Returns that, and how the living peers stand with it.
+    /// Returns the store standing of this instance and of its live peers.
     Policy::StoreEvidence storeEvidence() const;
-    /// Called when a peer's knowledge was taken in.
-    void setKnowledgeChanged(std::function<void()> changed) { changed_ = std::move(changed); }
+    /// Sets the callback for when rows from a peer have been recorded.
+    void setStateChangedCallback(std::function<void()> changed) { changed_ = std::move(changed); }
 
-    /// Sets where the loads of targets that peers are told come from, and where theirs go.
-    void setLoadNews(std::function<std::vector<Policy::TargetLoad>()> told,
-                     std::function<void(const std::vector<Policy::TargetLoad> &)> heard);
+    /// Sets the source of the target loads that are sent to peers, and the sink for theirs.
+    void setLoadExchange(std::function<std::vector<Policy::TargetLoad>()> provide,
+                         std::function<void(const std::vector<Policy::TargetLoad> &)> receive);
 
-    /// Sets where news of ended targets and of requests in quarantine comes from, and where that of
-    /// peers goes, with whether the peer is ready.
-    void setCrashNews(std::function<Policy::CrashNews()> told,
-                      std::function<void(const Policy::CrashNews &, bool)> heard);
+    /// Sets the source of updates on crashed targets and quarantined requests, and the sink for
+    /// those of peers; the sink also gets whether the peer is ready.
+    void setCrashExchange(std::function<Policy::CrashNews()> provide,
+                          std::function<void(const Policy::CrashNews &, bool)> receive);
 
-    /// Sets what tells whether this instance's call for a table has waited for news since a time,
-    /// and what has the store asked anew.
+    /// Sets the function that tells whether this instance's call for a table has waited for changes
+    /// since a time, and the one that restarts that call.
     void setStoreCalls(std::function<bool(StoreTable, Model::SteadyTime)> hasWaitedSince,
-                       std::function<void(StoreTable)> askAnew);
-    /// Sets where it comes from, and where it goes, how long ago targets' registrations were first
-    /// found to be gone.
-    void setRemovalNews(std::function<RemovalAges()> told,
-                        std::function<void(const RemovalAges &)> heard);
-
-    /// If this instance is known to lack rows, asks for them where that is due. Called every tick.
-    void lookForNews();
-
-    /// If there is news of the store, tells it at once to a few peers that do not read the store.
+                       std::function<void(StoreTable)> restartWaitingCall);
+    /// Sets the source of the ages of expired or removed target registrations, and the sink for
+    /// those of peers.
+    void setRemovalExchange(std::function<RemovalAges()> provide,
+                            std::function<void(const RemovalAges &)> receive);
+
+    /// Requests missing rows from a peer if this instance is behind and a request is due. Called
+    /// every tick.
+    void fetchIfBehind();
+
+    /// Sends the revisions, if they have changed, at once to a few peers that do not read the
+    /// store.
     void announce();
 
-    /// Takes what an instance said of itself in the store; it counts once it was heard of.
+    /// Adds the member that an instance's record in the store describes. It stays unconfirmed until
+    /// a heartbeat of it arrives.
     void addRecord(const std::string &record);
-    /// Returns what this instance says of itself in the store.
-    std::string ownRecord() const;
+    /// Returns this instance's record for the store.
+    std::string localRecord() const;
 
     const Policy::Members &members() const { return members_; }
-    const Model::Instance &ownInstance() const;
-    /// Tells whether at least one exchange with each of a few peers was tried.
-    bool hasAsked() const { return rounds_ >= 2; }
-    /// Tells whether any other instance is known to run.
-    bool knowsAnyone() const;
-    /// Tells whether a running instance of every region of the settings is known.
-    bool knowsEveryRegion() const;
-    /// When a peer last spoke and nobody was known to know newer rows.
-    Model::SteadyTime informedAt() const { return informedAt_; }
-    /// Tells whether this instance is to read the store.
+    const Model::Instance &localInstance() const;
+    /// Tells whether an exchange with each of a few peers has been attempted.
+    bool hasContactedPeers() const { return rounds_ >= 2; }
+    /// Tells whether any other instance is alive.
+    bool hasLivePeer() const;
+    /// Tells whether an instance in every region of the settings is alive.
+    bool hasLiveMemberInEveryRegion() const;
+    /// When a message last arrived from a peer while no peer was known to have newer rows.
+    Model::SteadyTime upToDateAt() const { return upToDateAt_; }
+    /// Returns whether this instance reads the store, and in which role.
     Policy::ReaderRank readerRank() const;
 
-    /// What this instance's calls to peers have moved so far.
+    /// The traffic of this instance's calls to peers so far.
     const PeerTraffic &traffic() const { return traffic_; }
 
-    /// Takes it that everything heard is old: the process stood still.
-    void forgetAges();
+    /// Makes all members unconfirmed, because the ages of their heartbeats are wrong after the
+    /// process was suspended.
+    void markMembersUnconfirmed();
 
 private:
-    Http::Task<void> roundLoop();
-    Http::Task<void> askPeer(Model::Instance peer, bool isAnnouncement);
-    Http::Task<void> fetchKnowledge();
+    Http::Task<void> gossipLoop();
+    Http::Task<void> sendGossip(Model::Instance peer, bool isAnnouncement);
+    Http::Task<void> fetchState();
     void countCall(PeerCall call, const Model::Instance &peer, const Http::Request &request,
                    const Http::ExchangeResult &result);
     Http::Task<Http::Response> answer(Http::IncomingRequest request);
     Http::Response answerGossip(const Http::Request &request);
-    Http::Response answerKnowledge(const Http::Request &request);
+    Http::Response answerStateRequest(const Http::Request &request);
     std::vector<Model::Instance> choosePeers();
-    void refreshOwn();
-    Model::Address dialled(const Model::Address &address) const;
-    void take(const PeerMessage &message, Model::SteadyTime now);
-    void hear(Policy::Member member);
-    void noteChanges(Model::SteadyTime now);
-    const Policy::Member *betterInformed(Model::SteadyTime now);
+    void refreshLocalMember();
+    Model::Address addressToDial(const Model::Address &address) const;
+    void recordMessage(const PeerMessage &message, Model::SteadyTime now);
+    void recordMember(Policy::Member member);
+    void logLivenessChanges(Model::SteadyTime now);
+    const Policy::Member *peerWithNewerRows(Model::SteadyTime now);
     void catchUp(Model::SteadyTime now);
     bool isCallHanging(StoreTable table, const Policy::Member &peer, Model::SteadyTime now) const;
     bool mayFetch(Model::SteadyTime now) const;
@@ -114,36 +120,38 @@
     Policy::Members members_;
     std::map<Model::InstanceId, bool> knownAlive_;
     std::function<void()> changed_;
-    std::function<std::vector<Policy::TargetLoad>()> loadsTold_ = [] {
+    std::function<std::vector<Policy::TargetLoad>()> provideLoads_ = [] {
         return std::vector<Policy::TargetLoad>();
     };
-    std::function<void(const std::vector<Policy::TargetLoad> &)> loadsHeard_ = [](const auto &) {};
-    std::function<Policy::CrashNews()> crashesTold_ = [] {
+    std::function<void(const std::vector<Policy::TargetLoad> &)> receiveLoads_
+        = [](const auto &) {};
+    std::function<Policy::CrashNews()> provideCrashes_ = [] {
         return Policy::CrashNews();
     };
-    std::function<void(const Policy::CrashNews &, bool)> crashesHeard_ = [](const auto &, bool) {};
+    std::function<void(const Policy::CrashNews &, bool)> receiveCrashes_
+        = [](const auto &, bool) {};
     std::function<bool(StoreTable, Model::SteadyTime)> hasWaitedSince_
         = [](StoreTable, Model::SteadyTime) {
               return false;
           };
-    std::function<void(StoreTable)> askAnew_ = [](StoreTable) {};
-    std::function<RemovalAges()> removalsTold_ = [] {
+    std::function<void(StoreTable)> restartWaitingCall_ = [](StoreTable) {};
+    std::function<RemovalAges()> provideRemovals_ = [] {
         return RemovalAges();
     };
-    std::function<void(const RemovalAges &)> removalsHeard_ = [](const RemovalAges &) {};
+    std::function<void(const RemovalAges &)> receiveRemovals_ = [](const RemovalAges &) {};
     std::mt19937_64 random_{std::random_device()()};
     Model::Incarnation incarnation_;
     std::uint64_t rounds_ = 0;
     bool isReady_ = false;
     bool isLeaving_ = false;
     Policy::StoreStanding store_;
-    /// Peers that are being asked for their rows.
-    std::set<Model::InstanceId> asked_;
-    Model::SteadyTime askedAt_ = Model::longAgo;
-    Model::SteadyTime fetchAgainAt_ = Model::longAgo;
-    /// Since when a peer is known to know newer rows.
+    /// Peers to which a request for rows is in progress.
+    std::set<Model::InstanceId> pendingFetches_;
+    Model::SteadyTime lastFetchAt_ = Model::longAgo;
+    Model::SteadyTime nextFetchAt_ = Model::longAgo;
+    /// Since when a peer is known to have newer rows.
     std::optional<Model::SteadyTime> behindSince_;
-    Model::SteadyTime informedAt_ = Model::longAgo;
+    Model::SteadyTime upToDateAt_ = Model::longAgo;
 };
 
 } // namespace Steering
--- a/Libraries/LibSteering/Mirror.cpp
+++ b/Libraries/LibSteering/TableReplica.cpp
@@ -1,4 +1,4 @@
-#include "Mirror.h"
+#include "TableReplica.h"
 
 #include <algorithm>
 #include <set>
@@ -12,15 +12,15 @@
 
 namespace {
 
-/// Removed rows that are remembered for peers that ask for changes: several times as many as a
-/// large site replaces in a day, at some dozen bytes each.
-constexpr std::size_t mostRemovals = 4096;
+/// Removed rows that are kept for peers that request changes: several times as many as a large site
+/// replaces in a day, at some dozen bytes each.
+constexpr std::size_t maxRememberedRemovals = 4096;
 
 } // namespace
 
 bool Mirror::replace(const StoredRows &rows)
 {
-    if (isKnown_ && rows.revision_ < position_)
+    if (isKnown_ && rows.revision_ < knownRevision_)
         return false;
     if (!isKnown_)
         removalsKnownSince_ = rows.revision_;
@@ -33,15 +33,16 @@
         if (held == rows_.end() || held->second.revision_ != row.revision_)
             put(row);
     }
-    // What is missing went at some time before; nobody who asks later may miss it.
-    std::vector<std::string> gone;
+    // A missing row was removed at some earlier revision. It gets the newest one, so that every
+    // peer that requests changes later receives the removal.
+    std::vector<std::string> removedKeys;
     for (const auto &[key, row] : rows_) {
         if (!present.contains(key))
-            gone.push_back(key);
+            removedKeys.push_back(key);
     }
-    for (const auto &key : gone)
+    for (const auto &key : removedKeys)
         remove(key, rows.revision_);
-    position_ = rows.revision_;
+    knownRevision_ = rows.revision_;
     isKnown_ = true;
     return true;
 }
@@ -87,8 +88,8 @@
 {
     for (const auto &row : changes.rows_)
         applyRow(row);
-    position_ = std::max(position_, changes.revision_);
-    if (removedAt_.size() > mostRemovals)
+    knownRevision_ = std::max(knownRevision_, changes.revision_);
+    if (removedAt_.size() > maxRememberedRemovals)
         forgetOldRemovals();
 }
 
@@ -105,27 +106,27 @@
     });
 }
 
-std::optional<StoredRows> Mirror::changesSince(Revision position) const
+std::optional<StoredRows> Mirror::changesSince(Revision since) const
 {
-    if (!isKnown_ || position < removalsKnownSince_)
+    if (!isKnown_ || since < removalsKnownSince_)
         return std::nullopt;
     StoredRows changes;
-    changes.revision_ = position_;
+    changes.revision_ = knownRevision_;
     for (const auto &[key, row] : rows_) {
-        if (row.revision_ > position)
+        if (row.revision_ > since)
             changes.rows_.push_back(row);
     }
     for (const auto &[key, revision] : removedAt_) {
-        if (revision > position)
+        if (revision > since)
             changes.rows_.push_back({key, std::nullopt, revision});
     }
     return changes;
 }
 
-StoredRows Mirror::everything() const
+StoredRows Mirror::snapshot() const
 {
     StoredRows all;
-    all.revision_ = position_;
+    all.revision_ = knownRevision_;
     for (const auto &[key, row] : rows_)
         all.rows_.push_back(row);
     return all;
--- a/Tests/LibSteering/TestKnowledge.cpp
+++ b/Tests/LibSteering/TestPlatformState.cpp
@@ -8,26 +8,26 @@
 using Model::Milliseconds;
 using Steering::StoreTable;
 
-class TestKnowledge : public CppUnit::TestFixture
+class TestPlatformState : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestKnowledge);
+    CPPUNIT_TEST_SUITE(TestPlatformState);
     CPPUNIT_TEST(lowerVersionIsNeverApplied);
-    CPPUNIT_TEST(unreadableTableLeavesTheOldOneInForce);
-    CPPUNIT_TEST(peersTellWhatIsNewer);
-    CPPUNIT_TEST(rowsThatAreNoTextReachPeers);
-    CPPUNIT_TEST(whoeverKnowsTheSameLacksNothing);
-    CPPUNIT_TEST(feedThatOvertakesAPeerIsIgnored);
-    CPPUNIT_TEST(leavingTargetGetsNothingEvenIfAnOldRowComesBack);
-    CPPUNIT_TEST(unregisteredTargetGoesAtOnceOnACalmDay);
-    CPPUNIT_TEST(lapsedTargetsAreUsedUntilTheyAreBack);
-    CPPUNIT_TEST(lapsedTargetsThatStayAwayAreDropped);
-    CPPUNIT_TEST(targetsThatLeaveTogetherOnACalmDayGetNothingInTime);
-    CPPUNIT_TEST(lateNewsOfRemovalsDoesNotProlongTheirUse);
-    CPPUNIT_TEST(registrationThatIsBackIsNoOldRemoval);
-    CPPUNIT_TEST(agesOfRemovalsReachPeersAndDamagedOnesAreIgnored);
-    CPPUNIT_TEST(outageOfLongAgoIsNoLapse);
-    CPPUNIT_TEST(targetThatLeavesAfterTheStoreReturnedGetsNothingInTime);
-    CPPUNIT_TEST(drainedDomainGetsNothing);
+    CPPUNIT_TEST(invalidTableKeepsThePreviousOneInForce);
+    CPPUNIT_TEST(peersSendNewerRows);
+    CPPUNIT_TEST(binaryRowsReachPeers);
+    CPPUNIT_TEST(peerWithTheSameRowsIsNotBehind);
+    CPPUNIT_TEST(staleStoreAnswerIsIgnored);
+    CPPUNIT_TEST(leavingTargetGetsNoRequestsAfterAStaleRow);
+    CPPUNIT_TEST(unregisteredTargetIsDroppedAtOnce);
+    CPPUNIT_TEST(expiredTargetsAreUsedUntilTheyRegisterAgain);
+    CPPUNIT_TEST(expiredTargetsThatDoNotReturnAreDropped);
+    CPPUNIT_TEST(targetsThatUnregisterTogetherAreDroppedInTime);
+    CPPUNIT_TEST(lateRemovalUpdateDoesNotExtendTheGracePeriod);
+    CPPUNIT_TEST(newRegistrationResetsTheRemovalAge);
+    CPPUNIT_TEST(removalAgesReachPeersAndInvalidOnesAreIgnored);
+    CPPUNIT_TEST(removalLongAfterAnOutageHasNoGracePeriod);
+    CPPUNIT_TEST(targetThatLeavesAfterTheStoreReturnsIsDroppedInTime);
+    CPPUNIT_TEST(drainedDomainGetsNoRequests);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -46,21 +46,21 @@
                 Fakes::target("c", "gauging", "s-a", 1), Fakes::target("d", "gauging", "t-b", 1)};
     }
 
-    // Symptom: an accepted edit is taken back at one instance.
-    // Sequence: the store's answer is refused here, and a peer that lags offers what it holds.
-    // Cause: taking whatever was heard last for the newest.
+    // Guards against the loss of an accepted edit at one instance: the store's answer is refused
+    // here, a peer that is behind offers its older table, and the last table received replaces the
+    // newest.
     void lowerVersionIsNeverApplied()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
         brain.tellOperators(5, 10);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
-        // A lower version in a newer row is refused too.
+        // A lower version in a newer row is also refused.
         brain.tellOperators(6, 30);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
     }
 
-    void unreadableTableLeavesTheOldOneInForce()
+    void invalidTableKeepsThePreviousOneInForce()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -70,49 +70,50 @@
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
     }
 
-    void peersTellWhatIsNewer()
+    void peersSendNewerRows()
     {
-        Brain informed("r-a");
-        informed.tellOperators(7, 20, {"s-a"});
-        informed.tellTargets(21, fourTargets());
-        Brain cutOff("r-b");
-        cutOff.tellOperators(6, 12);
-        const std::string told = informed.knowledge_.forPeer(cutOff.knowledge_.held());
-        CPPUNIT_ASSERT(cutOff.knowledge_.takeFromPeer(told, "peer"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), cutOff.knowledge_.table()->version().value());
-        CPPUNIT_ASSERT(cutOff.knowledge_.drained().contains(Model::FailureDomainId("s-a")));
+        Brain upToDate("r-a");
+        upToDate.tellOperators(7, 20, {"s-a"});
+        upToDate.tellTargets(21, fourTargets());
+        Brain partitioned("r-b");
+        partitioned.tellOperators(6, 12);
+        const std::string encoded
+            = upToDate.knowledge_.encodeForPeer(partitioned.knowledge_.knownRevisions());
+        CPPUNIT_ASSERT(partitioned.knowledge_.applyFromPeer(encoded, "peer"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), partitioned.knowledge_.table()->version().value());
+        CPPUNIT_ASSERT(partitioned.knowledge_.drained().contains(Model::FailureDomainId("s-a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t(4),
-                             cutOff.knowledge_.mirror(StoreTable::Targets).rows().size());
-        CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer(told, "peer"));
-        CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer("nonsense", "peer"));
-        CPPUNIT_ASSERT(!cutOff.knowledge_.takeFromPeer(R"({"operators":{"rows":3}})", "peer"));
+                             partitioned.knowledge_.mirror(StoreTable::Targets).rows().size());
+        CPPUNIT_ASSERT(!partitioned.knowledge_.applyFromPeer(encoded, "peer"));
+        CPPUNIT_ASSERT(!partitioned.knowledge_.applyFromPeer("nonsense", "peer"));
+        CPPUNIT_ASSERT(
+            !partitioned.knowledge_.applyFromPeer(R"({"operators":{"rows":3}})", "peer"));
     }
 
-    // Symptom: instances crash one after the other, each when a peer asks it for rows.
-    // Sequence: another program writes a registration that is no text; an instance reads it.
-    // Cause: rows told as JSON, which cannot hold such bytes.
-    void rowsThatAreNoTextReachPeers()
+    // Guards against instances that crash one after the other, each when a peer requests its rows:
+    // another program has written a registration that is not valid text, which JSON cannot encode.
+    void binaryRowsReachPeers()
     {
-        Brain informed("r-a");
-        informed.tellOperators(7, 20);
+        Brain upToDate("r-a");
+        upToDate.tellOperators(7, 20);
         auto list = fourTargets();
         list.push_back(Fakes::row("e", std::string("\xff\x00\xc3", 3), 21));
-        informed.tellTargets(21, list);
+        upToDate.tellTargets(21, list);
         Brain other("r-b");
-        CPPUNIT_ASSERT(other.knowledge_.takeFromPeer(
-            informed.knowledge_.forPeer(other.knowledge_.held()), "peer"));
+        CPPUNIT_ASSERT(other.knowledge_.applyFromPeer(
+            upToDate.knowledge_.encodeForPeer(other.knowledge_.knownRevisions()), "peer"));
         const auto &rows = other.knowledge_.mirror(StoreTable::Targets).rows();
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), rows.size());
         CPPUNIT_ASSERT_EQUAL(std::string("\xff\x00\xc3", 3), *rows.at("e").value_);
     }
 
-    // Symptom: instances ask each other for rows ten times a second on a calm day.
-    // Sequence: two read the store at different moments; nothing changes.
-    // Cause: comparing the revisions at which they read.
-    void whoeverKnowsTheSameLacksNothing()
+    // Guards against instances that request rows from each other ten times a second although
+    // nothing changes: two read the store at different moments, and the revisions of these reads
+    // are compared.
+    void peerWithTheSameRowsIsNotBehind()
     {
         const auto lastChanges = [](const Brain &brain) {
-            return Steering::HeldPositions{
+            return Steering::KnownRevisions{
                 brain.knowledge_.mirror(StoreTable::Operators).lastChange(),
                 brain.knowledge_.mirror(StoreTable::Targets).lastChange()};
         };
@@ -122,21 +123,19 @@
         Brain late("r-b");
         late.tellOperators(7, 20);
         late.tellTargets(40, fourTargets());
-        CPPUNIT_ASSERT(!early.knowledge_.lacks(lastChanges(late)));
-        CPPUNIT_ASSERT(!late.knowledge_.lacks(lastChanges(early)));
+        CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(!late.knowledge_.isBehind(lastChanges(early)));
         late.knowledge_.apply(StoreTable::Targets,
                               Fakes::rows(45, {Fakes::target("e", "gauging", "r-a", 45)}), "test");
-        CPPUNIT_ASSERT(early.knowledge_.lacks(lastChanges(late)));
-        CPPUNIT_ASSERT(early.knowledge_.takeFromPeer(
-            late.knowledge_.forPeer(early.knowledge_.held()), "peer"));
-        CPPUNIT_ASSERT(!early.knowledge_.lacks(lastChanges(late)));
+        CPPUNIT_ASSERT(early.knowledge_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(early.knowledge_.applyFromPeer(
+            late.knowledge_.encodeForPeer(early.knowledge_.knownRevisions()), "peer"));
+        CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
     }
 
-    // Symptom: a target that left is used again.
-    // Sequence: a call waits at the store; a peer tells of its leaving; the call's late answer
-    // holds the older row.
-    // Cause: taking in an answer whose revision is behind what is known.
-    void feedThatOvertakesAPeerIsIgnored()
+    // Guards against using a target again that has left: while a call waits at the store, a peer
+    // reports the leaving; the call's late answer, at an older revision, has the older row.
+    void staleStoreAnswerIsIgnored()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -150,7 +149,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    void leavingTargetGetsNothingEvenIfAnOldRowComesBack()
+    void leavingTargetGetsNoRequestsAfterAStaleRow()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -160,7 +159,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), usable(brain, "gauging"));
     }
 
-    void unregisteredTargetGoesAtOnceOnACalmDay()
+    void unregisteredTargetIsDroppedAtOnce()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -171,11 +170,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    // Symptom: after an outage of the store every request is refused for two seconds.
-    // Sequence: the store is away longer than registrations last; it returns without them; the
-    // targets, which never stopped, register again within two seconds.
-    // Cause: taking a missing registration for a departure.
-    void lapsedTargetsAreUsedUntilTheyAreBack()
+    // Guards against refusing every request for two seconds after a store outage: the outage
+    // outlasts the registrations' time to live, the store returns without them, and the targets,
+    // which never stopped, register again within two seconds. An expired registration is not a
+    // departure.
+    void expiredTargetsAreUsedUntilTheyRegisterAgain()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -194,10 +193,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
     }
 
-    // Symptom: requests are sent to a target that left during an outage of the store.
-    // Sequence: as above, but one target does not register again.
-    // Cause: waiting for it without an end.
-    void lapsedTargetsThatStayAwayAreDropped()
+    // Guards against sending requests to a target that left during a store outage: as above, but
+    // one target does not register again, and the wait for it has no limit.
+    void expiredTargetsThatDoNotReturnAreDropped()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -214,11 +212,11 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    // Symptom: a request reaches a target 2.52 s after the store took its leave; the bound is 2.5
-    // s. Sequence: three targets go at the same moment without announcing it; the store never
-    // failed; the news is gathered for half a second. Cause: two seconds of grace for what looks
-    // like a lapse, on top of the time that news takes.
-    void targetsThatLeaveTogetherOnACalmDayGetNothingInTime()
+    // Guards against a request that reaches a target 2.52 s after the store recorded its removal;
+    // the limit is 2.5 s. Three targets unregister at the same moment without announcing it, the
+    // store has not failed, and changes are batched for half a second. Two seconds of grace for
+    // apparently expired registrations, on top of the propagation time, exceed the limit.
+    void targetsThatUnregisterTogetherAreDroppedInTime()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -226,14 +224,15 @@
         brain.tellTargets(21, list);
         list.resize(1);
         brain.tellTargets(22, list);
-        const auto newsTakes = Milliseconds(700);
-        brain.now_ += Milliseconds(2500) - newsTakes - Milliseconds(300);
+        const auto propagationTime = Milliseconds(700);
+        brain.now_ += Milliseconds(2500) - propagationTime - Milliseconds(300);
         brain.dropMissing();
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
     }
 
-    // Guards against a grace that begins when the news comes, where peers have noticed before.
-    void lateNewsOfRemovalsDoesNotProlongTheirUse()
+    // Guards against a grace period that begins when the update arrives, although peers have
+    // noticed the removal before.
+    void lateRemovalUpdateDoesNotExtendTheGracePeriod()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -248,8 +247,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
     }
 
-    // Guards against a lapse that is cut short by what was noticed of one before it.
-    void registrationThatIsBackIsNoOldRemoval()
+    // Guards against a grace period that is shortened by the age of an earlier removal.
+    void newRegistrationResetsTheRemovalAge()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -264,18 +263,19 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
     }
 
-    void agesOfRemovalsReachPeersAndDamagedOnesAreIgnored()
+    void removalAgesReachPeersAndInvalidOnesAreIgnored()
     {
         Brain brain("r-a");
         const Steering::RemovalAges ages = {{"a", Milliseconds(70)}, {"b", Milliseconds(0)}};
-        CPPUNIT_ASSERT(Steering::removalsFromPeer(brain.knowledge_.forPeer({}, ages)) == ages);
-        CPPUNIT_ASSERT(Steering::removalsFromPeer(brain.knowledge_.forPeer({})).empty());
-        CPPUNIT_ASSERT(Steering::removalsFromPeer("damaged").empty());
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(brain.knowledge_.encodeForPeer({}, ages))
+                       == ages);
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(brain.knowledge_.encodeForPeer({})).empty());
+        CPPUNIT_ASSERT(Steering::parseRemovalAges("damaged").empty());
     }
 
-    // Symptom, sequence and cause as above, where the store failed three seconds before: by then
-    // every target that lives has registered again.
-    void outageOfLongAgoIsNoLapse()
+    // The same case three seconds after a store failure: by then every running target has
+    // registered again, so a missing one gets no grace period.
+    void removalLongAfterAnOutageHasNoGracePeriod()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -289,9 +289,9 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    // Guards against a lapse's grace that starts with the news of a removal, not the store's
+    // Guards against a grace period that starts with the update on a removal, not with the store's
     // return.
-    void targetThatLeavesAfterTheStoreReturnedGetsNothingInTime()
+    void targetThatLeavesAfterTheStoreReturnsIsDroppedInTime()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20);
@@ -301,8 +301,8 @@
         brain.now_ += Milliseconds(5000);
         brain.regainStore();
         const auto left = brain.now_ + Milliseconds(300);
-        const auto newsTakes = Milliseconds(700);
-        brain.now_ = left + newsTakes;
+        const auto propagationTime = Milliseconds(700);
+        brain.now_ = left + propagationTime;
         list.pop_back();
         brain.tellTargets(22, list);
         brain.now_ = left + Milliseconds(2500);
@@ -310,7 +310,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
 
-    void drainedDomainGetsNothing()
+    void drainedDomainGetsNoRequests()
     {
         Brain brain("r-a");
         brain.tellOperators(7, 20, {"r-a"});
@@ -323,4 +323,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestKnowledge);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestPlatformState);
