--- a/Libraries/LibPolicy/CrashEvidence.cpp
+++ b/Libraries/LibPolicy/CrashEvidence.cpp
@@ -14,14 +14,14 @@
 
 using Runs = std::vector<const EndedRun *>;
 
-/// A request and the runs that ended under it, sorted by their address.
+/// A request and the incarnations that crashed while processing it, sorted by their address.
 struct Accused
 {
     RequestPrint print_;
     Runs runs_;
 };
 
-/// Sorted by print.
+/// Sorted by fingerprint.
 using Evidence = std::vector<Accused>;
 
 RequestPrint anyCaller(const RequestPrint &print)
@@ -40,7 +40,8 @@
     return now < inForceUntil(quarantine);
 }
 
-/// A lapsed verdict that was not lifted: one more end renews it.
+/// Returns whether the request has an expired quarantine that was not released: one more crash
+/// renews it.
 bool isOnProbation(const CrashBook &book, const RequestPrint &print, SteadyTime now)
 {
     const auto found = book.quarantines_.find(print);
@@ -48,7 +49,7 @@
            && !isInForce(found->second, now);
 }
 
-/// Tells whether a request other than \a print that was in progress in \a run is in quarantine.
+/// Returns whether another request than \a print that was in progress in \a run is quarantined.
 bool isExplained(const CrashBook &book, const EndedRun &run, const RequestPrint &print,
                  SteadyTime now)
 {
@@ -70,7 +71,7 @@
     runs.erase(std::unique(runs.begin(), runs.end()), runs.end());
 }
 
-/// Requests that are still accused, by the runs that they were in progress in.
+/// Returns the suspects that are not cleared, each with an incarnation in which it was in progress.
 std::vector<std::pair<RequestPrint, const EndedRun *>> accusationsIn(const CrashBook &book)
 {
     std::vector<std::pair<RequestPrint, const EndedRun *>> all;
@@ -96,7 +97,8 @@
     return answered;
 }
 
-/// The requests against which one more end may be enough: those with two ends or a verdict.
+/// Returns the requests that one more crash may quarantine: those with two crashes or an earlier
+/// quarantine.
 Evidence evidenceIn(const CrashBook &book)
 {
     Evidence evidence;
@@ -121,7 +123,7 @@
             ++callers;
             exact.push_back({print, std::move(runs)});
         }
-        // What several callers ask for may end targets whoever asks.
+        // A request of several callers may crash targets regardless of its caller.
         if (callers >= 2 && !answered.contains(request))
             keep({request, 0}, std::move(ofAll));
         for (auto &accused : exact)
@@ -130,7 +132,7 @@
     return evidence;
 }
 
-/// Counts the instants in which \a runs ended.
+/// Returns the number of distinct crash times of \a runs; times within sameInstant count as one.
 std::size_t instantsOf(const Runs &runs)
 {
     std::vector<SteadyTime> times;
@@ -149,7 +151,7 @@
     return instants;
 }
 
-/// Tells whether no other request was in progress in nearly all of \a runs.
+/// Returns whether no other request was in progress in nearly all incarnations of \a accused.
 bool standsAlone(const Evidence &evidence, const Accused &accused)
 {
     return std::none_of(evidence.begin(), evidence.end(), [&](const Accused &other) {
@@ -174,8 +176,8 @@
     book.isChanged_ = true;
 }
 
-/// Finds the requests against which there is enough, those that ends accuse most first: they may
-/// explain the ends of the others. A single caller's request goes before that of all callers.
+/// Returns the requests with enough evidence, those with the most crashes first, because they may
+/// explain the crashes of the others. A single caller's request precedes that of all callers.
 std::vector<Accused> candidatesIn(CrashBook &book, const Evidence &evidence, SteadyTime now)
 {
     std::map<RequestPrint, SteadyTime> pending;
@@ -208,7 +210,7 @@
     return candidates;
 }
 
-/// Sentences one request, if there is one against which there is enough.
+/// Quarantines one request, if there is one with enough evidence.
 std::optional<RequestPrint> sentenceOne(CrashBook &book, const Evidence &evidence, SteadyTime now)
 {
     for (const auto &candidate : candidatesIn(book, evidence, now)) {
@@ -223,7 +225,8 @@
     return std::nullopt;
 }
 
-/// Voids fresh verdicts against requests that were only ever in progress beside another guilty one.
+/// Releases recent quarantines of requests that were only in progress together with another
+/// quarantined one.
 void hearAppeals(CrashBook &book, const Evidence &evidence, Verdicts &verdicts, SteadyTime now)
 {
     const auto isGuilty = [&](const Accused &accused) {
@@ -338,7 +341,7 @@
     const auto any = book.quarantines_.find(anyCaller(print));
     if (any == book.quarantines_.end() || !isInForce(any->second, now))
         return isOwnLifted;
-    // What is known against other callers' requests alone stays.
+    // Evidence against other callers' requests alone is kept.
     any->second.lifted_ = any->second.generation_;
     book.isChanged_ = true;
     return true;
--- a/Libraries/LibPolicy/CrashEvidence.h
+++ b/Libraries/LibPolicy/CrashEvidence.h
@@ -13,126 +13,128 @@
 
 namespace Policy {
 
-/// Names one run of a target: a hash of its id and of what tells its runs apart.
+/// Identifies one incarnation of a target: a hash of the target's id and its incarnation.
 using RunKey = Model::StrongNumber<struct RunKeyTag, std::uint64_t>;
 
-/// Returns the key of a target's run. Thread safety: any thread.
+/// Returns the key of an incarnation of a target. Thread safety: any thread.
 RunKey runKeyOf(const Model::TargetId &target, Model::Incarnation incarnation);
 
-/// A request that was in progress when a run ended.
+/// A request that was in progress when an incarnation crashed.
 struct Suspect
 {
     RequestPrint print_;
-    /// A target has answered it since, so it is not what ends targets. Never taken back.
+    /// A target has answered it since, so it does not crash targets. Never reset.
     bool isCleared_ = false;
 };
 
-/// A run of a target that ended without announcing it.
+/// An incarnation of a target that ended without announcing it.
 struct EndedRun
 {
     Model::SteadyTime endedAt_;
     std::vector<Suspect> suspects_;
-    /// When this instance last learned something new of it.
+    /// When this instance last recorded a change to it.
     Model::SteadyTime changedAt_;
 };
 
-/// A request that is kept from targets because they ended under it.
+/// A request that is withheld from targets because they crashed while processing it.
 struct Quarantine
 {
-    /// Grows with each verdict against the request; the highest one holds.
+    /// Grows with each quarantine decision against the request; the highest one is in force.
     std::uint32_t generation_ = 1;
-    /// Verdicts up to this generation are void.
+    /// Decisions up to this generation are released.
     std::uint32_t lifted_ = 0;
     Model::SteadyTime since_;
 };
 
-/// What an instance knows of runs that ended and of requests in quarantine. Instances merge what
-/// they know; the order in which it arrives makes no difference.
+/// The crashed incarnations and quarantined requests that an instance has recorded. Instances merge
+/// their records; the order of arrival makes no difference.
 ///
 /// Thread safety: none.
 struct CrashBook
 {
     std::map<RunKey, EndedRun> runs_;
     std::map<RequestPrint, Quarantine> quarantines_;
-    /// Since when there is enough against a request; its verdict waits for settleTime.
+    /// When the evidence against a request first sufficed; the decision follows after settleTime.
     std::map<RequestPrint, Model::SteadyTime> pending_;
-    /// Set by whatever changes the book; whoever acts on it clears it.
+    /// Set by every change to the records; the code that acts on the change resets it.
     bool isChanged_ = false;
 };
 
-/// Bounds of the book. Where more happens, the oldest entries go.
+/// Upper bounds on the entries of a CrashBook; beyond them the oldest are dropped.
 constexpr std::size_t mostRuns = 128;
 constexpr std::size_t mostSuspects = 48;
 constexpr std::size_t mostQuarantines = 256;
 
-/// Ends count against a request for so long, and a first quarantine lasts so long from the verdict;
-/// each further one lasts twice as long, up to longestQuarantine.
+/// Crashes count as evidence for this duration, and a first quarantine lasts this long from the
+/// decision; each further one lasts twice as long, up to longestQuarantine.
 constexpr Model::Milliseconds firstQuarantine{600000};
 constexpr Model::Milliseconds longestQuarantine{86400000};
-/// Runs that end within this time count as one: targets that are killed, or lose their power,
+/// Incarnations that end within this time count as one crash: targets that are killed or lose power
 /// together.
 constexpr Model::Milliseconds sameInstant{100};
-/// In so many instants targets must have ended under a request. After a quarantine has lapsed, one
-/// is enough.
+/// The number of distinct crash times needed to quarantine a request. After a quarantine has
+/// expired, one is enough.
 constexpr std::size_t instantsForVerdict = 3;
-/// After ends in so many instants it is sent to one target at a time.
+/// After this many crash times a request is sent to one target at a time.
 constexpr std::size_t instantsForTrial = 2;
-/// A request that shares its ends with others all the while is sentenced after so many.
+/// A request that always crashes targets together with others is quarantined after this many.
 constexpr std::size_t instantsForSharedVerdict = 8;
-/// Other instances' word of what else was in progress arrives within this time.
+/// Other instances' reports of what else was in progress arrive within this time.
 constexpr Model::Milliseconds settleTime{600};
-/// Requests that lost their connection to a target were there when it ended, if its end is noticed
-/// within this time.
+/// Requests that lost their connection to a target are attributed to its crash if the crash is
+/// detected within this time.
 constexpr Model::Milliseconds lossMemory{3000};
-/// A request that has to wait for the trial of another one comes back after this.
+/// Retry delay of a request that waits for the serialized probe of another one.
 constexpr Model::Milliseconds comeBackFromTrial{300};
-/// A book in which nothing changed is judged this often, for what is too old.
+/// Unchanged records are reviewed for expired entries at this interval.
 constexpr Model::Milliseconds reviewPause{1000};
-/// A verdict that others' word explains better is void within this time.
+/// A quarantine decision can be reconsidered on other instances' reports within this time.
 constexpr Model::Milliseconds appealTime{5000};
 
-/// Takes in that \a run ended while requests with \a prints were in progress there. Runs of one key
-/// are taken together. Thread safety: \a book belongs to the calling thread.
+/// Records that \a run crashed while requests with \a prints were in progress there. Reports with
+/// the same key are merged. Thread safety: \a book belongs to the calling thread.
 void noteEnded(CrashBook &book, RunKey run, const std::vector<RequestPrint> &prints,
                Model::SteadyTime now);
 
-/// Takes in that a target answered a request: clears it in all runs and lifts its quarantine.
-/// Returns whether that lifted one. Thread safety: as above.
+/// Records that a target answered a request: clears it in all incarnations and releases its
+/// quarantine. Returns whether a quarantine was released. Thread safety: as above.
 bool noteAnswered(CrashBook &book, const RequestPrint &print, Model::SteadyTime now);
 
-/// Lifts the quarantine of \a print, as an operator asks. Returns whether there was one in force.
+/// Releases the quarantine of \a print on an operator's request. Returns whether one was in force.
 /// Thread safety: as above.
 bool liftQuarantine(CrashBook &book, const RequestPrint &print, Model::SteadyTime now);
 
-/// What judge() changed.
+/// The changes that judge() made.
 struct Verdicts
 {
     std::vector<RequestPrint> quarantined_;
     std::vector<RequestPrint> lifted_;
 };
 
-/// Decides which requests targets ended under, and forgets what is too old.
+/// Decides which requests crash targets, and drops expired records.
 ///
-/// A request is guilty if targets ended under it in several instants, no target has answered it,
-/// and no other request was there in nearly all of them. Ends at which a guilty one was in
-/// progress say nothing against the others. Thread safety: as above.
+/// A request is quarantined if targets crashed at several distinct times while processing it, no
+/// target has answered it, and no other request was in progress in nearly all of those crashes.
+/// Crashes that involve a quarantined request are no evidence against the others. Thread safety: as
+/// above.
 Verdicts judge(CrashBook &book, Model::SteadyTime now);
 
-/// Returns until when a verdict holds that has not been lifted; a time in the past otherwise.
+/// Returns when a quarantine that has not been released expires; a time in the past otherwise.
 /// Thread safety: any thread.
 Model::SteadyTime inForceUntil(const Quarantine &quarantine);
 
 /// How a request may be sent to targets.
 enum class RequestStanding {
     Free,
-    /// Targets ended under it: one such request at a time, so that the ends tell them apart.
+    /// Targets crashed while processing it: one such request at a time is sent, so that further
+    /// crashes can be attributed to a single request.
     Trial,
-    /// Enough targets ended under it; the verdict is due within settleTime.
+    /// The evidence suffices; the quarantine decision is due within settleTime.
     Pending,
     Quarantined,
 };
 
-/// What requests are checked against, made from a book.
+/// A read-only index of a CrashBook against which requests are checked.
 struct CrashView
 {
     struct Entry
@@ -141,27 +143,28 @@
         RequestStanding standing_ = RequestStanding::Free;
         Model::SteadyTime until_;
     };
-    /// The heads of all suspects and of all requests in quarantine, sorted.
+    /// The fingerprint prefixes of all suspects and of all quarantined requests, sorted.
     std::vector<std::uint32_t> heads_;
-    /// Requests that are not free, by what they ask for.
+    /// Requests that are not Free, by RequestPrint::request_.
     std::unordered_multimap<std::uint64_t, Entry> entries_;
 
     bool isEmpty() const { return heads_.empty(); }
-    /// Tells whether a request with \a head may be a suspect: if not, its print is not needed.
+    /// Returns false if no request with prefix \a head is a suspect; its full fingerprint is then
+    /// not needed.
     bool mayHold(std::uint32_t head) const
     {
         return std::binary_search(heads_.begin(), heads_.end(), head);
     }
 };
 
-/// Returns what requests are to be checked against.
+/// Returns the index of \a book at \a now.
 /// Thread safety: any thread.
 CrashView viewOf(const CrashBook &book, Model::SteadyTime now);
 
 struct StandingNow
 {
     RequestStanding standing_ = RequestStanding::Free;
-    /// When to ask again, where the request is refused.
+    /// When to retry, if the request is refused.
     Model::SteadyTime until_;
 };
 
--- a/Libraries/LibPolicy/CrashNews.cpp
+++ b/Libraries/LibPolicy/CrashNews.cpp
@@ -14,7 +14,7 @@
     return std::max(Milliseconds(0), std::chrono::duration_cast<Milliseconds>(now - time));
 }
 
-/// Keeps the youngest of \a items.
+/// Keeps the youngest \a most of \a items.
 template <typename Item>
 void keepYoungest(std::vector<Item> &items, std::size_t most)
 {
@@ -39,7 +39,7 @@
     noteEnded(book, told.run_, prints, now);
     bool isNews = std::exchange(book.isChanged_, wasChanged);
     const auto found = book.runs_.find(told.run_);
-    // The book may be full of younger runs.
+    // It is dropped again if the records are full of younger ones.
     if (found == book.runs_.end())
         return isNews;
     EndedRun &run = found->second;
@@ -73,7 +73,7 @@
     }
     if (told.lifted_ > held.lifted_) {
         isNews = true;
-        // What led to the verdict must not lead to it again.
+        // The evidence behind the released quarantine must not renew it.
         if (told.lifted_ >= held.generation_)
             liftQuarantine(book, told.print_, now);
         held.lifted_ = told.lifted_;
--- a/Libraries/LibPolicy/CrashNews.h
+++ b/Libraries/LibPolicy/CrashNews.h
@@ -4,22 +4,22 @@
 
 namespace Policy {
 
-/// A run that ended, as instances tell each other.
+/// A crashed incarnation as exchanged between instances.
 struct ToldRun
 {
     RunKey run_;
-    /// How long ago it ended.
+    /// Time since the crash.
     Model::Milliseconds age_{0};
     std::vector<Suspect> suspects_;
 };
 
-/// A verdict, as instances tell each other.
+/// A quarantine decision as exchanged between instances.
 struct ToldQuarantine
 {
     RequestPrint print_;
     std::uint32_t generation_ = 1;
     std::uint32_t lifted_ = 0;
-    /// How long ago it was made.
+    /// Time since the decision.
     Model::Milliseconds age_{0};
 };
 
@@ -31,18 +31,19 @@
     bool isEmpty() const { return runs_.empty() && quarantines_.empty(); }
 };
 
-/// What one message holds at the most.
+/// Upper bounds on the entries of one message.
 constexpr std::size_t mostRunsTold = 24;
 constexpr std::size_t mostQuarantinesTold = 64;
-/// What is new of a run is told for so long; all instances have heard it by then. Quarantines are
-/// told for as long as they are known, so whoever starts or was cut off hears of them.
+/// Changes to a crashed incarnation are sent for this duration, in which they reach all instances.
+/// Quarantines are sent for as long as they are recorded, so they also reach an instance that
+/// starts or was partitioned off.
 constexpr Model::Milliseconds runTellTime{6000};
 
-/// Returns what others should hear of \a book. Thread safety: any thread.
+/// Returns the update on \a book to send to other instances. Thread safety: any thread.
 CrashNews newsOf(const CrashBook &book, Model::SteadyTime now);
 
-/// Takes in what another instance told; more than one message may hold is ignored. What was told
-/// twice, or in another order, makes no difference. Returns whether anything was new.
+/// Merges an update from another instance; entries beyond the limits of a message are ignored.
+/// Idempotent and independent of the order of updates. Returns whether anything changed.
 /// Thread safety: \a book belongs to the calling thread.
 bool takeIn(CrashBook &book, const CrashNews &news, Model::SteadyTime now);
 
--- a/Libraries/LibPolicy/Dissemination.h
+++ b/Libraries/LibPolicy/Dissemination.h
@@ -8,8 +8,8 @@
 
 namespace Policy {
 
-/// Returns how often one instance polls the store so that all \a members together make at most
-/// \a fleetReadsPerSecond reads, however many they are. Thread safety: any thread.
+/// Returns the interval at which one instance polls the store so that all \a members together make
+/// at most \a fleetReadsPerSecond reads. Thread safety: any thread.
 Model::Milliseconds pollPeriod(std::size_t members, double fleetReadsPerSecond);
 
 /// Returns up to \a count distinct positions below \a members, drawn by \a draws.
@@ -18,54 +18,57 @@
 std::vector<std::size_t> choosePeers(std::size_t members, std::size_t count,
                                      const std::vector<std::uint64_t> &draws);
 
-/// Tells whether a table of version \a offered may replace one of version \a held.
+/// Returns whether a table of version \a offered may replace one of version \a held.
 ///
-/// What goes wrong without it: a peer or a store replica that lags offers an old table, an accepted
-/// edit reverts, and nobody notices until traffic moves back. Versions only grow, whoever offers.
+/// Versions only grow, whatever the source. Without this check, a lagging peer or store replica
+/// offers an old table and an accepted edit reverts unnoticed until traffic moves back.
 /// Thread safety: any thread.
 bool mayApply(Model::TableVersion held, Model::TableVersion offered);
 
-/// Targets known to be leaving, each by the incarnation that said so.
+/// Targets known to be leaving, each with the incarnation that announced it.
 ///
-/// The mark of one incarnation is never taken back; a later incarnation starts without a mark.
+/// The leaving marker of an incarnation is permanent; a later incarnation starts without one.
 struct LeavingMarks
 {
     std::map<Model::TargetId, Model::Incarnation> marks_;
 };
 
-/// Adds a mark. Returns whether it was news. Thread safety: \a marks is not shared meanwhile.
+/// Adds a leaving marker. Returns whether it is new. Thread safety: \a marks is not shared
+/// meanwhile.
 bool markLeaving(LeavingMarks &marks, const Model::TargetId &target,
                  Model::Incarnation incarnation);
 
-/// Tells whether \a target, seen as \a incarnation, is marked. Thread safety: any thread.
+/// Returns whether \a target has a leaving marker for \a incarnation or a later one. Thread safety:
+/// any thread.
 bool isLeaving(const LeavingMarks &marks, const Model::TargetId &target,
                Model::Incarnation incarnation);
 
-/// What a starting instance has heard.
+/// What a starting instance has received.
 struct StartKnowledge
 {
     bool storeAnswered_ = false;
-    /// Any peer answered, ready or not, or none did for startPatience.
+    /// A peer answered, ready or not, or none did within startPatience.
     bool peersHadTheirSay_ = false;
     Model::TableVersion storeVersion_;
     Model::TableVersion heldVersion_;
-    /// Failure domains other than one's own whose peers answered, each with the highest version.
+    /// Failure domains other than the local one whose peers answered, each with its highest
+    /// version.
     std::map<Model::FailureDomainId, Model::TableVersion> peerVersions_;
 };
 
-/// Peers of this many failure domains must agree that nothing newer is known.
+/// Peers of this many failure domains must report no newer version.
 constexpr std::size_t domainsNeededToStart = 2;
 
-/// Where the store answers but no peer does, an instance starts by itself after this long.
+/// Where the store answers but no peer does, an instance starts alone after this delay.
 constexpr Model::Milliseconds startPatience{2000};
 
-/// Tells whether a fresh instance may serve.
+/// Returns whether a fresh instance may serve: it has an answer from the store and from its peers,
+/// or from peers in more than one failure domain, and holds the highest version that any of them
+/// named.
 ///
-/// What goes wrong without it: an instance that starts while the store is down takes an old table
-/// from one lagging peer and serves it, so an accepted edit reverts there; or a replica of the
-/// store that lags answers first, and the instance serves its table until the peers are heard. It
-/// waits for the store and a word of its peers, or for peers in more than one failure domain, and
-/// holds the highest version that any of them named. Thread safety: any thread.
+/// Without this check, an instance that starts while the store is down serves an old table from one
+/// lagging peer, so an accepted edit reverts there; or a lagging replica of the store answers
+/// first, and the instance serves its table until the peers answer. Thread safety: any thread.
 bool mayServe(const StartKnowledge &knowledge);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/DomainPicker.cpp
+++ b/Libraries/LibPolicy/DomainPicker.cpp
@@ -20,7 +20,7 @@
     return best;
 }
 
-/// Another near failure domain with a free slot that is not too far ahead of its share.
+/// Returns another local failure domain with a free slot that is not too far ahead of its share.
 std::optional<std::size_t> standIn(const DomainCredits &credits, const ShareVector &shares,
                                    const std::vector<DomainView> &views, double maximumDebt)
 {
@@ -37,7 +37,7 @@
     return best;
 }
 
-/// Keeps old debts from growing without bound while a failure domain gets no share.
+/// Bounds the credits, and resets those of failure domains without a share.
 void forgetOldCredits(DomainCredits &credits, const ShareVector &shares, double maximumDebt)
 {
     for (std::size_t i = 0; i < shares.shares_.size(); ++i) {
--- a/Libraries/LibPolicy/EntryFailures.h
+++ b/Libraries/LibPolicy/EntryFailures.h
@@ -9,27 +9,27 @@
 
 namespace Policy {
 
-/// Entries of other regions whose connections were lost lately. Not shared between threads.
+/// Remote entries whose connections were lost recently. Not shared between threads.
 struct EntryFailures
 {
     std::map<Model::Address, Model::SteadyTime> notBefore_;
 };
 
-/// An entry that was lost is tried again by one request after this long.
+/// A lost entry is probed with one request after this delay.
 constexpr Model::Milliseconds lostEntryPause{1000};
 
-/// Notes that the entry at \a address was lost, or that it answered.
+/// Records that the entry at \a address was lost, or that it answered.
 /// Thread safety: \a failures belongs to the calling thread.
 void noteEntryLost(EntryFailures &failures, const Model::Address &address, Model::SteadyTime now);
 void noteEntryAnswered(EntryFailures &failures, const Model::Address &address);
 
-/// Returns which of \a entries takes a request that is handed over to their region, or nothing if
-/// all of them were lost lately.
+/// Returns which of \a entries receives a request that is forwarded to their region, or
+/// std::nullopt if all of them were lost recently.
 ///
-/// What goes wrong without it: until a region's last word is too old to be believed, each request
-/// for it is sent to a dead entry, may have arrived there, and ends as unknown. Not sent, it is
-/// truly not run, and the caller may ask again. An entry that was lost and is due to be tried again
-/// is chosen once in each pause, when no other one is left.
+/// Without this, each request for a region is sent to a failed entry until the region's last report
+/// expires; it may have arrived there, and its outcome is unknown. A request that is not sent is
+/// certainly not run, so the caller may retry it. A lost entry that is due for a probe is chosen
+/// once per lostEntryPause, when no other entry is left.
 /// Thread safety: \a failures belongs to the calling thread.
 std::optional<std::size_t> chooseEntry(EntryFailures &failures,
                                        const std::vector<Model::Instance> &entries,
--- a/Libraries/LibPolicy/EntryRanking.cpp
+++ b/Libraries/LibPolicy/EntryRanking.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Near and staying first, elsewhere last; leaving entries only count in the caller's own region.
+/// In order of preference; leaving entries are used only in the caller's own region.
 enum class Rank { Near, SameRegion, LeavingInRegion, Elsewhere };
 
 Rank rankOf(const LookupQuery &query, const Model::Instance &instance)
@@ -23,7 +23,7 @@
     return isNear ? Rank::Near : Rank::SameRegion;
 }
 
-/// Tells whether the caller's own region has an entry that stays.
+/// Returns whether the caller's own region has a live entry that is not leaving.
 bool hasStayingEntry(const LookupQuery &query, const std::vector<EntryCandidate> &candidates)
 {
     return std::any_of(candidates.begin(), candidates.end(), [&](const auto &candidate) {
@@ -82,8 +82,8 @@
     const auto elsewhere = std::find_if(ranked.begin(), ranked.end(), [](const Ranked &item) {
         return item.rank_ == Rank::Elsewhere;
     });
-    // An entry that cannot be reached costs a refused connection, so callers of a region that died
-    // get to a live entry at once, long before the look-ups know.
+    // An unreachable entry costs only a refused connection, so callers of a failed region reach a
+    // live entry at once, long before the look-ups detect the failure.
     const bool wouldBeLeftOut
         = elsewhere != ranked.end() && static_cast<std::size_t>(elsewhere - ranked.begin()) >= most;
     if (wouldBeLeftOut && most > 1)
--- a/Libraries/LibPolicy/LeaveSpans.h
+++ b/Libraries/LibPolicy/LeaveSpans.h
@@ -7,43 +7,43 @@
 
 namespace Policy {
 
-/// The spans of time on the way of a target's leave, from the store's acknowledgement to the last
-/// byte that an instance sends there. Whoever waits on that way takes its limit from here, so that
-/// what adds up is what the sums below add up.
+/// The time limits between the store's acknowledgement of a target's leave and the last byte that
+/// an instance sends to the target. Code that waits in between takes its limit from here, so that
+/// the sums below are the actual bounds.
 
-/// After news, further news of the targets are gathered for this long: a release brings a change
-/// every few hundred milliseconds, and each call is paid for.
+/// After a change to the targets, further changes are batched for this duration: a release causes
+/// a change every few hundred milliseconds, and each call is billed.
 constexpr Model::Milliseconds gatherTargets{500};
-/// The same for an instance that reads the store in reserve: it tells its region where the first
-/// reader is gone or its call hangs.
+/// The same for a standby reader of the store, which updates its region when the active reader has
+/// failed or its call hangs.
 constexpr Model::Milliseconds gatherInReserve{1500};
-/// The store's answer to a call that has something to tell, between the regions farthest apart.
+/// The store's answer to a call for which it has changes, between the regions farthest apart.
 constexpr Model::Milliseconds storeAnswer{200};
-/// A new connection to it, and that answer.
+/// Connection setup and that answer.
 constexpr Model::Milliseconds storeAnswerOnNewConnection{300};
-/// An instance asks peers what they know once in this time.
+/// The interval between an instance's gossip rounds.
 constexpr Model::Milliseconds peerRound{400};
-/// Rounds after which an instance of a small fleet has asked a living peer of its region, though
-/// the peers of one round may all have stopped.
+/// Rounds after which an instance of a small fleet has reached a live peer of its region, even if
+/// the peers of one round have all stopped.
 constexpr int roundsInSmallFleet = 2;
-/// Announcements that bring news from a reader to the last instance of its region, one after
-/// another, and the time that one of them and the fetch of the rows take.
+/// The number of successive announcements that carry a change from a reader to the last instance of
+/// its region, and the time that one of them and the fetch of the rows take.
 constexpr int announcementHops = 4;
 constexpr Model::Milliseconds announcementHop{100};
-/// An instance that reads the store, and hears of newer rows while its own call waits, takes the
-/// call for dead after this.
+/// A store reader that learns of newer rows while its own call waits considers the call failed
+/// after this time.
 constexpr Model::Milliseconds readerPatience{200};
-/// A peer that does not tell its rows within this is no longer the only one that is asked.
+/// When a peer has not sent its rows within this time, another peer is asked too.
 constexpr Model::Milliseconds fetchPatience{300};
-/// What a peer of the same region takes to tell its rows.
+/// The time that a peer of the same region takes to send its rows.
 constexpr Model::Milliseconds fetchAnswer{200};
-/// How often an instance looks for targets that may not be used any longer, and for requests that
-/// are still being sent to them.
+/// The interval at which an instance checks for targets that may no longer be used, and for
+/// requests that are still being sent to them.
 constexpr Model::Milliseconds tickPeriod{100};
-/// The longest that a request may still be sent to a target whose leave is known.
+/// The longest time that a request may still be sent to a target whose leave is known.
 constexpr Model::Milliseconds sendPatience{200};
 
-/// A span of the way, by its name. Each way below is returned from its first span to its last.
+/// A named step of a path. Each path below is returned from its first step to its last.
 /// Thread safety: any thread.
 struct LeaveSpan
 {
@@ -51,34 +51,35 @@
     Model::Milliseconds longest_{0};
 };
 
-/// In a fleet in which each instance reads the store, and the call of this one waits as it should.
+/// In a fleet in which each instance reads the store, and the local call waits as intended.
 std::vector<LeaveSpan> wayByOwnCall();
 
-/// In such a fleet, where the own call hangs: a peer tells that there is news, and the store is
-/// asked anew.
+/// In such a fleet, where the local call hangs: a peer announces a change, and the store is called
+/// again.
 std::vector<LeaveSpan> wayByNewCall();
 
-/// Where several targets leave without a word: they are used for a grace, which begins when any
-/// instance first reads that they are gone; late news does not prolong it.
+/// Where several targets leave unannounced: they are used for a grace period, which begins when any
+/// instance first reads their removal; a late update does not prolong it.
 std::vector<LeaveSpan> wayOfUnannouncedLeaves();
 
-/// In a larger fleet, at an instance that leaves the store to others, where the first reader of its
-/// region is gone and so is the peer that it asks first.
+/// In a larger fleet, at an instance that does not read the store, where the active reader of its
+/// region has failed and so has the peer that it asks first.
 std::vector<LeaveSpan> wayByPeers();
 
-/// The three daemons: an entry learns of a leave from the target itself, whatever the store says.
+/// The three daemons: an entry learns of a leave from the target itself, regardless of the store.
 constexpr Model::Milliseconds probePause{500};
 constexpr Model::Milliseconds probeTimeout{400};
-/// Probes in a row that may be lost while the target still answers.
+/// Consecutive probes that may be lost while the target still answers.
 constexpr int probesLost = 2;
 
-/// From the target's own word that it leaves to the last byte that an entry sends there.
+/// From the target's announcement that it leaves to the last byte that an entry sends there.
 std::vector<LeaveSpan> wayByProbes();
 
-/// Returns the longest that all of \a way can take. Thread safety: any thread.
+/// Returns the sum of the limits of \a way. Thread safety: any thread.
 Model::Milliseconds sumOf(const std::vector<LeaveSpan> &way);
 
-/// Within these a leave must be in force: in a small fleet and at the daemons, and in a larger one.
+/// A leave must be in force within these times: in a small fleet and at the daemons; in a larger
+/// fleet.
 constexpr Model::Milliseconds leaveBound{2500};
 constexpr Model::Milliseconds leaveBoundInLargeFleet{3000};
 
--- a/Libraries/LibPolicy/Liveness.cpp
+++ b/Libraries/LibPolicy/Liveness.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Tells which of two runs began later. The one with the lower incarnation did if its machine's
-/// clock went back before it began: then the other run has been silent, and what is still said of
-/// it is older than what is known.
+/// Returns whether \a said is of a later incarnation than \a known. A lower incarnation is the
+/// later one if its machine's clock was set back before it began: then the other one has been
+/// silent, and any report on it is older than the known one.
 bool isLaterRun(const Member &said, const Member &known, Model::SteadyTime heardAt)
 {
     if (said.pulse_.incarnation_ > known.pulse_.incarnation_)
@@ -86,7 +86,7 @@
         if (member.instance_.region_ != region || !wasHeardOfLately(member, now))
             continue;
         ++heardOf;
-        // An instance's own count says nothing that it does not know itself.
+        // Counts of local instances add nothing to the members counted here.
         if (member.isFar_)
             counted = std::max<std::size_t>(counted, member.pulse_.regionEntries_);
     }
--- a/Libraries/LibPolicy/Liveness.h
+++ b/Libraries/LibPolicy/Liveness.h
@@ -8,98 +8,101 @@
 
 namespace Policy {
 
-/// How an instance stands with the platform's store.
+/// An instance's contact with the platform's store.
 enum class StoreContact {
-    /// It does not ask the store; others tell it.
+    /// It does not call the store; peers update it.
     NotAsked,
     Reached,
-    /// The store does not answer it, or turns it away.
+    /// The store does not answer it, or refuses it.
     Refused,
 };
 
-/// What changes of a member while it runs: enough to tell somebody who knows the rest.
+/// A heartbeat record: the fields of a member that change while it runs, for peers that already
+/// have its full record.
 struct MemberPulse
 {
     Model::InstanceId id_;
-    /// When this run of the instance began; a later run replaces an earlier one.
+    /// A later incarnation replaces an earlier one.
     Model::Incarnation incarnation_;
-    /// Counts up while the instance runs; only the instance itself raises it.
+    /// Increases while the instance runs; only the instance itself increments it.
     std::uint64_t heartbeat_ = 0;
-    /// It knows the table in force and takes callers' requests.
+    /// It has the table in force and accepts callers' requests.
     bool isReady_ = false;
     bool isLeaving_ = false;
     StoreContact store_ = StoreContact::NotAsked;
-    /// The revisions of the last changes of the operators' and targets' rows that it knows.
+    /// The revisions of the last changes to the operators' and targets' rows that it has.
     std::uint64_t operatorsSeen_ = 0;
     std::uint64_t targetsSeen_ = 0;
-    /// How many entries of its region it counts.
+    /// The number of entries that it counts in its region.
     std::uint32_t regionEntries_ = 0;
-    /// How long ago the heartbeat rose, as the teller knows.
+    /// Time since the heartbeat was incremented, as known to the sender.
     Model::Milliseconds age_{0};
-    /// For how long, when the heartbeat rose, the store had answered each of its calls; zero unless
-    /// the store is reached.
+    /// The time for which the store had answered each of its calls when the heartbeat was
+    /// incremented; zero unless the store is reached.
     Model::Milliseconds storeAnswered_{0};
     /// The revision up to which it has itself read the targets' rows from the store.
     std::uint64_t targetsRead_ = 0;
 };
 
-/// One instance as this instance knows it.
+/// The full member record of one instance.
 struct Member
 {
-    /// Where it is and how it is reached; whether it leaves is in the pulse.
+    /// Its location and addresses; whether it is leaving is in the heartbeat record.
     Model::Instance instance_;
     MemberPulse pulse_;
-    /// When the heartbeat rose, on this instance's clock.
+    /// When the heartbeat was incremented, on this instance's clock.
     Model::SteadyTime heardAt_;
-    /// It lies in another region than the instance that keeps this list.
+    /// It lies in another region than the instance that keeps this record.
     bool isFar_ = false;
-    /// Never heard of beyond being named by the store or a seed.
+    /// Unconfirmed: named by the store or as a seed, but no heartbeat has been received.
     bool isHearsay_ = false;
 };
 
 using Members = std::map<Model::InstanceId, Member>;
 
-/// An instance of the own region whose heartbeat is older than this is taken to be gone. Heartbeats
-/// rise every 400 ms and reach two dozen instances within three rounds of two peers each, so this
-/// is two rounds more than news usually takes.
+/// An instance of the local region whose heartbeat is older than this is considered failed.
+/// Heartbeats are incremented every 400 ms and reach two dozen instances within three rounds of two
+/// peers each, so this is two rounds more than an update usually takes.
 constexpr Model::Milliseconds aliveFor{2500};
 
-/// The same for other regions, from which news comes through a few exchanges a second only: a
-/// second until it is in the region, two until it is everywhere there.
+/// The same for other regions, whose updates arrive through only a few exchanges per second: they
+/// take one second to reach the region and two to reach every instance there.
 constexpr Model::Milliseconds farAliveFor{4500};
 
-/// Limits stay divided by those that were heard of in this time, since they may still run.
+/// Limits stay divided among the instances whose last heartbeat is at most this old, since they may
+/// still run.
 constexpr Model::Milliseconds rememberedFor{15000};
 
-/// Instances are asked now and then for so long after they were last heard of, so that two halves
-/// of a fleet that were cut apart for minutes find each other again.
+/// Silent instances are still contacted occasionally for this duration after their last heartbeat,
+/// so that two parts of a fleet that were partitioned for minutes rejoin.
 constexpr Model::Milliseconds contactFor{600000};
 
-/// Takes in what a peer said of an instance, whose heartbeat rose at \a heardAt. Returns whether it
-/// was news.
+/// Merges a peer's record of an instance whose heartbeat was incremented at \a heardAt. Returns
+/// whether it is newer than the known one.
 ///
-/// What goes wrong without the incarnation: a restarted instance counts its heartbeats from one and
-/// is taken for dead until it has passed the old run's count. Incarnations come from the machine's
-/// clock; where that went back before the restart, the later run counts once the earlier one has
-/// been silent for longer than a living one is.
+/// Without the incarnation, a restarted instance, which counts heartbeats from one, is considered
+/// failed until it passes the count of its earlier incarnation. Incarnations come from the
+/// machine's clock; if that was set back before the restart, the later incarnation is accepted once
+/// the earlier one has been silent for longer than a live one can be.
 /// Thread safety: \a members belongs to the calling thread.
 bool hearOf(Members &members, const Member &said, Model::SteadyTime heardAt);
 
-/// The same for an instance whose run is known already; what is said of another run is no news.
+/// Merges the heartbeat record of an incarnation that is already known; any other is ignored.
+/// Returns and thread safety: as above.
 bool hearPulse(Members &members, const MemberPulse &pulse, Model::SteadyTime now);
 
-/// Returns the pulse of \a member with its age at \a now. Thread safety: any thread.
+/// Returns the heartbeat record of \a member with its age at \a now. Thread safety: any thread.
 MemberPulse pulseAt(const Member &member, Model::SteadyTime now);
 
-/// Tells whether \a member is taken to run. Thread safety: any thread.
+/// Returns whether \a member is considered alive. Thread safety: any thread.
 bool isAlive(const Member &member, Model::SteadyTime now);
 
-/// Drops what was not heard of for longer than contacts are kept, except \a own.
+/// Removes members whose last heartbeat is older than contactFor, except \a own.
 /// Thread safety: \a members belongs to the calling thread.
 void forgetSilent(Members &members, const Model::InstanceId &own, Model::SteadyTime now);
 
-/// Returns how many instances of \a region may still run: as many as were heard of in the time for
-/// which instances are remembered, or as many as one of them counts, if that is more.
+/// Returns how many instances of \a region may still run: those whose last heartbeat is at most
+/// rememberedFor old, or the highest count that one of them reports, if that is more.
 /// Thread safety: any thread.
 std::size_t entriesIn(const Members &members, const Model::RegionId &region, Model::SteadyTime now);
 
--- a/Libraries/LibPolicy/PeerNews.cpp
+++ b/Libraries/LibPolicy/PeerNews.cpp
@@ -27,7 +27,7 @@
     return result;
 }
 
-/// The live members of a region, or of all regions but one, without \a own.
+/// Returns the live members for which \a isWanted holds, without \a own.
 template <typename Wanted>
 Chosen aliveWhere(const Members &members, const Model::Instance &own, Model::SteadyTime now,
                   Wanted isWanted)
@@ -55,8 +55,8 @@
     });
 }
 
-/// Members that are taken to be gone, those of the own region and of regions of which no other one
-/// is known to run.
+/// Returns the members that are considered failed, of the local region and of regions without a
+/// live member.
 Chosen lostMembers(const Members &members, const Model::Instance &own, const Chosen &far,
                    Model::SteadyTime now)
 {
@@ -72,13 +72,13 @@
     return lost;
 }
 
-/// The order in which the instances of a region become its contacts.
+/// The order in which the instances of a region are chosen as its contacts.
 bool ranksBefore(const Member *a, const Member *b)
 {
     return seedOf(a->instance_.id_.value()) < seedOf(b->instance_.id_.value());
 }
 
-/// How many members of each region the others know.
+/// Returns how many members of each region the other regions know.
 std::size_t contactsOfEach(const Members &members)
 {
     std::set<Model::RegionId> regions;
@@ -88,7 +88,7 @@
     return std::clamp(mostContacts / others, fewestContactsOfRegion, contactsOfRegion);
 }
 
-/// The members of a region that other regions know: the same ones for every teller.
+/// Returns the contacts among the \a members of a region: the same ones on every instance.
 Chosen contactsAmong(Chosen members, std::size_t count)
 {
     if (members.size() <= count)
@@ -112,7 +112,7 @@
     return instances;
 }
 
-/// Collects what the asker does not know, or not so well.
+/// Collects the records that are newer than the asker's.
 class NewsWriter
 {
 public:
@@ -125,7 +125,8 @@
             known_.emplace(pulse.id_, &pulse);
     }
 
-    /// Tells of \a member; whole, if it must be, only while \a wholeLeft is above zero.
+    /// Adds the record of \a member, if it is newer: the full record, if the asker does not know
+    /// this incarnation and \a wholeLeft is above zero, else the heartbeat record.
     void tell(const Member &member, std::size_t &wholeLeft)
     {
         if (member.instance_.id_ == asker_.id_)
@@ -200,7 +201,8 @@
     std::uniform_real_distribution<double> chance(0, 1);
     const std::size_t crossing = chance(generator) < crossingChance ? 1 : 0;
     Chosen chosen = sampled(sameDomain, nearPeersInRound - crossing, generator);
-    // Alone in its region, or just started, it asks whomever it knows, near ones first.
+    // An instance that is alone in its region, or has just started, contacts any known peers, local
+    // ones first.
     for (const Chosen *others :
          std::initializer_list<const Chosen *>{&otherDomains, &lostNear, &far, &lost}) {
         if (chosen.size() < nearPeersInRound)
@@ -305,7 +307,7 @@
                   : contactsAmong(std::move(near), contacts);
     for (const Member *member : near)
         writer.tell(*member, wholeLeft);
-    // One that asks from afar may have found nobody of its own region yet.
+    // A remote asker may not have found any instance of its own region yet.
     if (!isNear) {
         for (const Member *member :
              contactsAmong(aliveIn(members, own, asker.region_, now), contacts))
--- a/Libraries/LibPolicy/PeerNews.h
+++ b/Libraries/LibPolicy/PeerNews.h
@@ -6,89 +6,91 @@
 
 namespace Policy {
 
-/// Peers of the own region that an instance asks in a round; news reaches a region of n instances
-/// in about log(n) / log(4) rounds.
+/// Peers of the local region that an instance contacts in a round; an update reaches a region of n
+/// instances in about log(n) / log(4) rounds.
 constexpr std::size_t nearPeersInRound = 2;
 
-/// How often one of them lies in another failure domain; the others lie in the own one, where bytes
-/// cost nothing. Each domain hears of the others from all its instances together.
+/// The probability that one of them lies in another failure domain; the others lie in the local
+/// one, where traffic is free. All instances of a domain together receive the others' updates.
 constexpr double crossingChance = 0.5;
 
-/// Peers of other regions that all instances of a region together ask in a round, at the least; and
-/// the part of the instances of a larger region that ask one. With fewer, a region of a hundred has
-/// news of the others that is three seconds old on average, and takes living ones for dead.
+/// The minimum number of remote peers that all instances of a region together contact in a round,
+/// and the fraction of a larger region's instances that contact one. With fewer, a region of a
+/// hundred has updates on the others that are three seconds old on average, and considers live
+/// instances failed.
 ///
-/// What goes wrong with peers drawn from the whole fleet: most exchanges cross between regions, and
-/// what instances tell each other outweighs the answers to callers there.
+/// With peers drawn from the whole fleet, most exchanges cross between regions, and gossip
+/// outweighs the answers to callers there.
 constexpr double farPeersOfRegionInRound = 2;
 constexpr double farPartOfRegion = 0.12;
 
-/// Instances that other regions know of a region, its contacts; which ones is the same for
-/// everybody. Of many regions fewer each are known, so that an instance keeps no more than so many.
+/// The instances of a region that other regions know, its contacts, are the same for all observers.
+/// With many regions, each has fewer contacts, so that an instance keeps at most mostContacts.
 constexpr std::size_t contactsOfRegion = 16;
 constexpr std::size_t fewestContactsOfRegion = 3;
 constexpr std::size_t mostContacts = 42;
 
-/// Members of the own region named in one message. Where fewer are named than a region has, some
-/// of its instances stay unknown to others for long.
+/// The maximum number of local members named in one message. With fewer than a region has, some of
+/// its instances stay unknown to others for a long time.
 constexpr std::size_t mostNearTold = 128;
-/// Members whose whole record goes into one answer.
+/// The maximum number of full member records in one answer.
 constexpr std::size_t mostWholeTold = 32;
-/// Contacts of other regions whose whole record goes into one answer inside a region.
+/// The maximum number of full records of remote contacts in one answer inside a region.
 constexpr std::size_t farWholeTold = 4;
 
-/// One round in so many also asks an instance that is taken to be gone, unless others of its region
-/// are known to run: of other regions only some are known.
+/// One round out of this many also contacts an instance that is considered failed, unless other
+/// instances of its region are known to be alive: of other regions only some are known.
 constexpr std::uint64_t roundsBetweenLost = 4;
 
-/// What one instance tells another: whole records of whom the other does not know, pulses of the
-/// rest.
+/// An update from one instance to another: full records of the members that the receiver does not
+/// know, heartbeat records of the rest.
 struct PeerNews
 {
     std::vector<Member> whole_;
     std::vector<MemberPulse> pulses_;
 };
 
-/// Drops instances of other regions that rank behind the contacts of their region.
+/// Removes instances of other regions that rank behind the contacts of their region.
 ///
-/// What goes wrong without it: whoever asks from afar once is kept, though nobody tells of it
-/// again; a few seconds later it is taken for lost, and back when it happens to ask again. The log
-/// fills with living instances that come and go. Thread safety: \a members belongs to the calling
-/// thread.
+/// Without this, a remote instance that makes one request is kept although no peer sends updates on
+/// it; it is considered failed a few seconds later, and alive again with its next request. The log
+/// fills with live instances that appear and disappear. Thread safety: \a members belongs to the
+/// calling thread.
 void forgetStrangers(Members &members, Model::SteadyTime now);
 
-/// Returns the instances that \a own asks in a round, by \a random. Empty if none is known.
+/// Returns the peers that \a own contacts in a round, drawn by \a random. Empty if none is known.
 /// Thread safety: any thread.
 std::vector<Model::Instance> peersOfRound(const Members &members, const Model::Instance &own,
                                           Model::SteadyTime now, std::uint64_t random);
 
-/// Peers that an instance tells at once when it has taken in news of the store.
+/// The number of peers to which an instance announces a change of the store immediately.
 constexpr std::size_t peersToldAtOnce = 3;
 
-/// Returns whom \a own tells at once of news: live ones of its region that do not read the store.
-/// Whoever reads it tells one of each other failure domain and the rest of the own one; whoever was
-/// told passes it on inside its domain, and beyond only if there are too few.
+/// Returns the peers to which \a own announces a change immediately: live ones of its region that
+/// do not read the store. A reader chooses one peer in each other failure domain and the rest in
+/// its own; an instance that received an announcement forwards it inside its domain, and beyond
+/// only if that has too few peers.
 ///
-/// What goes wrong with peers drawn from the whole region: each fetches the news from who told it,
-/// so most fetches cross between failure domains, with the rows of every target for every instance.
+/// With peers drawn from the whole region, each fetches the change from the announcer, so most
+/// fetches cross between failure domains, with the rows of every target for every instance.
 /// Thread safety: any thread.
 std::vector<Model::Instance> peersToTellAtOnce(const Members &members, const Model::Instance &own,
                                                Model::SteadyTime now, std::uint64_t random);
 
-/// Returns one of the live peers for which \a knowsMore holds, of the own failure domain if there
-/// is any there, else of the own region, else of another one; nullptr if there is none.
+/// Returns a live peer for which \a knowsMore holds, of the local failure domain if there is one,
+/// else of the local region, else of another one; nullptr if there is none.
 /// Thread safety: any thread.
 const Member *nearestThat(const Members &members, const Model::Instance &own,
                           const std::function<bool(const Member &)> &knowsMore,
                           Model::SteadyTime now, std::uint64_t random);
 
-/// Returns what \a own says that it knows when it asks a peer in \a peerRegion: the peer answers
-/// with what is newer. The asker itself is left out. Thread safety: any thread.
+/// Returns the heartbeat records that \a own sends with a request to a peer in \a peerRegion; the
+/// peer answers with newer ones. \a own itself is left out. Thread safety: any thread.
 std::vector<MemberPulse> pulsesToAskWith(const Members &members, const Model::Instance &own,
                                          const Model::RegionId &peerRegion, Model::SteadyTime now,
                                          std::uint64_t random);
 
-/// Returns what \a own knows better than \a asker, which said that it knows \a known.
+/// Returns the records of \a own that are newer than those that \a asker has sent as \a known.
 /// Thread safety: any thread.
 PeerNews newsFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
                  const std::vector<MemberPulse> &known, Model::SteadyTime now,
--- a/Libraries/LibPolicy/RegistrationLapse.cpp
+++ b/Libraries/LibPolicy/RegistrationLapse.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-/// Tells whether \a standing is of somebody who has read the removal from the store itself. Whoever
-/// heard of it from a peer may have a call that hangs, and not know yet that the store was away.
+/// Returns whether \a standing is of an instance that has read the removal from the store itself.
+/// An instance that received it from a peer may have a hanging call, and not have detected an
+/// outage of the store yet.
 bool isWitness(const StoreStanding &standing, const RemovedRegistration &removed)
 {
     return standing.contact_ == StoreContact::Reached && standing.targetsRead_ >= removed.revision_;
 }
 
-/// When the store came back, by the instance's own calls alone. One that has just started has not
-/// seen it fail.
+/// Returns when the store recovered, by the instance's own calls alone. An instance that has just
+/// started has not seen it fail.
 Model::SteadyTime returnSeenBy(const StoreStanding &own, const RemovedRegistration &removed)
 {
     return own.contact_ == StoreContact::Refused ? removed.noticedAt_ : own.returnedAt_;
@@ -50,7 +51,7 @@
             witnessed = std::min(witnessed.value_or(other.answeredSince_), other.answeredSince_);
     }
     const auto returnedAt = witnessed.value_or(returnSeenBy(evidence.own_, removed));
-    // Nobody reads a removal from a store that is away: it was back when this was noticed.
+    // A removal cannot be read during an outage: the store had recovered when it was noticed.
     const auto until = std::min(returnedAt, removed.noticedAt_) + lapseGrace;
     const auto untilUnseen = removed.noticedAt_ + unseenLapseGrace;
     return removed.isOneOfMany_ ? std::max(until, untilUnseen) : until;
--- a/Libraries/LibPolicy/RegistrationLapse.h
+++ b/Libraries/LibPolicy/RegistrationLapse.h
@@ -4,55 +4,56 @@
 
 namespace Policy {
 
-/// How an instance stands with the store.
+/// An instance's contact with the store over time.
 struct StoreStanding
 {
     StoreContact contact_ = StoreContact::NotAsked;
-    /// Since when the store has answered each of its calls, if it is reached.
+    /// The start of the period in which the store has answered each of its calls, if it is reached.
     Model::SteadyTime answeredSince_ = Model::longAgo;
-    /// When a call was answered again after one had failed; only the instance itself knows it.
+    /// When a call first succeeded after a failed one; known only to the instance itself.
     Model::SteadyTime returnedAt_ = Model::longAgo;
     /// The revision up to which it has itself read the targets' rows from the store.
     std::uint64_t targetsRead_ = 0;
 };
 
-/// What an instance knows of whether the store was away.
+/// What an instance knows about outages of the store.
 struct StoreEvidence
 {
     StoreStanding own_;
     std::vector<StoreStanding> others_;
 };
 
-/// Returns how the living ones among \a members, except \a own, stand with the store.
+/// Returns the store contact of the live ones among \a members, except \a own.
 /// Thread safety: any thread.
 std::vector<StoreStanding> standingsOf(const Members &members, const Model::InstanceId &own,
                                        Model::SteadyTime now);
 
-/// A registration that went though its target had not said that it leaves.
+/// A registration that was removed though its target had not announced that it leaves.
 struct RemovedRegistration
 {
-    /// The revision of the store in which it was gone.
+    /// The revision of the store in which it is removed.
     std::uint64_t revision_ = 0;
     Model::SteadyTime noticedAt_;
-    /// Others went at the same time.
+    /// Others were removed at the same time.
     bool isOneOfMany_ = false;
 };
 
-/// Registrations that lapse while the store is away are back within this time after its return.
+/// Registrations that expire during an outage of the store are renewed within this time after it.
 constexpr Model::Milliseconds lapseGrace{2000};
 
-/// So many registrations that go at once, none announced, look like a lapse and not like leaving.
+/// This many registrations that are removed together, none announced, look like an expiry and not
+/// like leaves.
 constexpr std::size_t manyAtOnce = 3;
 
-/// Grace for those where nobody saw the store fail, from when they are noticed: they may have left
-/// all the same.
+/// The grace period for those if no instance saw the store fail, from when they are noticed: the
+/// targets may have left after all.
 constexpr Model::Milliseconds unseenLapseGrace{1200};
 
-/// Returns until when a target may be used whose registration went; a time in the past if it is to
-/// be taken as gone.
+/// Returns until when a target may be used whose registration was removed; a time in the past if it
+/// is considered to have left.
 ///
-/// Whoever was answered by the store all the while, and read the removal from it, knows that the
-/// registration did not lapse. That one instance is not answered says nothing of the store.
+/// An instance that the store answered throughout, and that read the removal from it, shows that
+/// the registration did not expire. Failed calls of one instance are no evidence of an outage.
 /// Thread safety: any thread.
 Model::SteadyTime usableUntil(const RemovedRegistration &removed, const StoreEvidence &evidence);
 
--- a/Libraries/LibPolicy/RequestPrint.cpp
+++ b/Libraries/LibPolicy/RequestPrint.cpp
@@ -44,7 +44,7 @@
 {
     RequestPrint print;
     print.request_ = std::uint64_t(head) << 32U | lowerHalf(mixed(head, text.body_));
-    // Zero stands for any caller.
+    // Zero matches any caller.
     print.caller_ = std::max<std::uint32_t>(1, lowerHalf(mixed(0, text.caller_)));
     return print;
 }
--- a/Libraries/LibPolicy/RequestPrint.h
+++ b/Libraries/LibPolicy/RequestPrint.h
@@ -9,7 +9,7 @@
 
 namespace Policy {
 
-/// What a caller asks for, as far as it tells one request from another.
+/// The parts of a request that distinguish it from others.
 struct RequestText
 {
     std::string_view method_;
@@ -17,55 +17,55 @@
     /// Path and query.
     std::string_view target_;
     std::string_view body_;
-    /// Who asks: the caller's name or key, else its IP number.
+    /// The caller's name or key, else its IP address.
     std::string_view caller_;
 };
 
-/// A request without its id: the same for every repeat of it, on every instance.
+/// The fingerprint of a request without its id: the same for every repeat, on every instance.
 struct RequestPrint
 {
-    /// The upper half is headOf() of the request, the lower half depends on its body too.
+    /// The upper half is headOf() of the request, the lower half also depends on its body.
     std::uint64_t request_ = 0;
-    /// Zero stands for any caller.
+    /// Zero matches any caller.
     std::uint32_t caller_ = 0;
 
     auto operator<=>(const RequestPrint &) const = default;
 };
 
-/// Returns the part of a print that does not need the body. Thread safety: any thread.
+/// Returns the fingerprint prefix, which does not depend on the body. Thread safety: any thread.
 std::uint32_t headOf(const RequestText &text);
 constexpr std::uint32_t headOf(const RequestPrint &print)
 {
     return static_cast<std::uint32_t>(print.request_ >> 32U);
 }
 
-/// Returns the print of a request; \a head is headOf() of it. Thread safety: any thread.
+/// Returns the fingerprint of a request; \a head is headOf() of it. Thread safety: any thread.
 RequestPrint printOf(const RequestText &text, std::uint32_t head);
 inline RequestPrint printOf(const RequestText &text)
 {
     return printOf(text, headOf(text));
 }
 
-/// Returns "0123456789abcdef-01234567"; printFromText() reads it back and returns nothing, with
+/// Returns "0123456789abcdef-01234567"; printFromText() parses it and returns std::nullopt, with
 /// BadValue as the last reason, for any other text. Thread safety: any thread.
 std::string toText(const RequestPrint &print);
 std::optional<RequestPrint> printFromText(std::string_view text);
 
-/// What requests with a print asked for, in the words of their callers, so that operators recognise
-/// them. Not shared between threads.
+/// Readable names of fingerprinted requests, as their callers sent them, so that operators
+/// recognise them. Not shared between threads.
 struct RequestNames
 {
     std::map<RequestPrint, std::string> names_;
 };
 
-/// Names kept, and the longest; where more come, all are forgotten.
+/// The maximum number of names, beyond which all are dropped, and their maximum length.
 constexpr std::size_t mostNames = 256;
 constexpr std::size_t longestName = 120;
 
-/// Remembers \a name, shortened if need be. Thread safety: \a names belongs to the calling thread.
+/// Stores \a name, truncated to longestName. Thread safety: \a names belongs to the calling thread.
 void remember(RequestNames &names, const RequestPrint &print, std::string name);
 
-/// Returns the name of a request with \a print, or of one that differs in its caller only; empty if
+/// Returns the name of a request with \a print, or of one that differs only in its caller; empty if
 /// there is none. Thread safety: any thread.
 std::string nameOf(const RequestNames &names, const RequestPrint &print);
 
--- a/Libraries/LibPolicy/Shares.cpp
+++ b/Libraries/LibPolicy/Shares.cpp
@@ -36,7 +36,7 @@
     return vector;
 }
 
-/// The times after \a start at which the goal changes by schedule, in order.
+/// Returns the times at which the goal changes by schedule, in order.
 std::vector<WallTime> scheduledTimes(const Model::Table &table)
 {
     std::vector<WallTime> times;
@@ -50,7 +50,7 @@
     return times;
 }
 
-/// A point on the line of planned shares.
+/// The planned shares at a time.
 struct PlanPoint
 {
     ShareVector shares_;
@@ -70,7 +70,7 @@
     return {goalShares(table, service, origin, first - Milliseconds(1), {}), first};
 }
 
-/// Walks the line up to \a now.
+/// Returns the planned shares at \a now, applying each scheduled change in turn.
 PlanPoint walkedPoint(const Model::Table &table, const Model::Service &service,
                       const Model::RegionId &origin, WallTime now)
 {
@@ -150,7 +150,7 @@
 ShareVector movedShares(const Model::Table &table, const ShareVector &from, const ShareVector &to,
                         const ShiftCaps &caps, Milliseconds elapsed)
 {
-    // With nowhere to go the traffic stays where it is; requests are refused there.
+    // Without a goal the traffic stays where it is; requests are refused there.
     if (sum(to) <= negligible)
         return from;
     if (sum(from) <= negligible)
@@ -187,7 +187,7 @@
     if (distance <= negligible)
         return Milliseconds(0);
 
-    // The progress is linear in time, so the progress of one second tells the whole time.
+    // Progress is linear in time, so one step determines the whole duration.
     const auto oneDay = std::chrono::hours(24);
     const double inADay = allowedProgress(table, shares, goal, capsOf(*row), oneDay);
     if (inADay < 1) {
--- a/Libraries/LibPolicy/StoreReaders.cpp
+++ b/Libraries/LibPolicy/StoreReaders.cpp
@@ -23,7 +23,7 @@
            && member.pulse_.store_ != StoreContact::Refused;
 }
 
-/// Everybody that may read, the first of each failure domain first, then the second, and so on.
+/// Returns all eligible readers: the first of each failure domain, then the second, and so on.
 std::vector<const Member *> readersInOrder(const Members &members, const Model::Instance &own,
                                            Model::SteadyTime now)
 {
@@ -67,7 +67,7 @@
 {
     const bool isSmall = fleetSize(members, now) <= smallFleet;
     const auto order = readersInOrder(members, own, now);
-    // Where the store turns everybody away, everybody goes on trying.
+    // If the store refuses all instances, all of them keep trying.
     if (order.empty() || order.front()->instance_.id_ == own.id_)
         return ReaderRank::First;
     if (isSmall)
--- a/Libraries/LibPolicy/StoreReaders.h
+++ b/Libraries/LibPolicy/StoreReaders.h
@@ -4,34 +4,36 @@
 
 namespace Policy {
 
-/// Up to this many instances each reads the store for itself and has nobody to wait for.
+/// In a fleet of up to this many instances, each reads the store itself.
 constexpr std::size_t smallFleet = 16;
 
-/// Instances of a region that read the store where the fleet is larger.
+/// The number of store readers per region in a larger fleet.
 ///
-/// Each call is paid for, and each change wakes every reader. Of four, one is all but surely served
-/// where the store turns a third of all instances away; else there are the other regions' readers.
+/// Each call is billed, and each change wakes every reader. Of four, one is almost certainly served
+/// when the store refuses a third of all instances; if none is, the other regions' readers are
+/// left.
 constexpr std::size_t readersInRegion = 4;
 
-/// Which of a region's readers an instance is.
+/// The role of an instance in reading the store for its region.
 enum class ReaderRank {
-    /// Others read the store and tell it.
+    /// Other instances read the store and update it.
     None,
-    /// It asks again as soon as it has taken in what it was told, and lets no call wait for long.
+    /// The active reader: it calls again as soon as it has applied an answer, and limits how long a
+    /// call waits.
     First,
-    /// One of a small fleet, in which everybody reads.
+    /// One of a small fleet, in which each instance reads.
     Each,
-    /// It steps in where the first one is not served: it asks less often, and has most news from
-    /// the first one before it does.
+    /// The standby reader, for when the active one is not served: it calls less often, and receives
+    /// most changes from the active one before.
     Reserve,
 };
 
-/// Tells whether \a own is to read the store, by what it knows of the others.
+/// Returns the role of \a own in reading the store, by the members that it knows.
 ///
-/// Readers are the first few of a region by a rank that is the same on every instance, the failure
-/// domains by turns; those that are gone, leave or are turned away by the store are passed over, so
-/// that the next in rank takes their place without a message. Where views differ for a moment there
-/// is one reader more or less. Thread safety: any thread.
+/// The readers of a region are the first few by a rank that is the same on every instance,
+/// alternating between the failure domains. Instances that failed, are leaving or are refused by
+/// the store are skipped, so that the next in rank takes over without a message. While views
+/// differ, there is one reader more or less. Thread safety: any thread.
 ReaderRank readerRank(const Members &members, const Model::Instance &own, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Tests/LibPolicy/SimulatedFleet.h
+++ b/Tests/LibPolicy/SimulatedFleet.h
@@ -10,7 +10,7 @@
 
 namespace Simulated {
 
-/// One instance with what it knows of the others.
+/// One instance with its own state.
 struct Node
 {
     Model::Instance instance_;
@@ -19,7 +19,7 @@
     bool isRunning_ = true;
 };
 
-/// How many regions a fleet has, how many failure domains each, and how many instances those.
+/// The number of regions, of failure domains per region, and of instances per failure domain.
 struct FleetShape
 {
     std::size_t regions_ = 3;
@@ -27,31 +27,31 @@
     std::size_t perDomain_ = 1;
 };
 
-/// Instances that tell each other of themselves in rounds, without a network: exchanges take no
-/// time, and all instances make their rounds at the same moments. The same in every run.
+/// Instances that gossip in rounds, without a network: exchanges take no time, and all instances
+/// make their rounds simultaneously. Deterministic.
 class Fleet
 {
 public:
     static constexpr Model::Milliseconds roundPeriod{400};
 
-    /// Each instance begins with the first one of each region as the only ones that it knows.
+    /// Each instance starts with the first one of each region as its seeds.
     explicit Fleet(const FleetShape &shape);
     /// \a perDomain instances in each of two failure domains in each of three regions.
     explicit Fleet(std::size_t perDomain);
 
     void playRounds(int rounds);
-    /// Whether a message between two instances arrives; all do if this is not set.
+    /// Whether a message between two instances arrives; if not set, all messages do.
     std::function<bool(const Model::Instance &, const Model::Instance &)> isLinked_;
 
     std::vector<Node> nodes_;
     Model::SteadyTime now_{std::chrono::hours(1)};
-    /// Exchanges so far, those between regions, those between failure domains of one region, and
-    /// members named in the largest message.
+    /// The number of exchanges, of those between regions, of those between failure domains of one
+    /// region, and of members in the largest message.
     std::size_t exchanges_ = 0;
     std::size_t farExchanges_ = 0;
     std::size_t acrossDomains_ = 0;
     std::size_t mostNamed_ = 0;
-    /// Ended runs and verdicts told so far.
+    /// Crashed incarnations and quarantine decisions sent so far.
     std::size_t crashesTold_ = 0;
 
 private:
--- a/Tests/LibPolicy/TestCrashEvidence.cpp
+++ b/Tests/LibPolicy/TestCrashEvidence.cpp
@@ -22,7 +22,8 @@
     return RunKey(number);
 }
 
-/// Lets targets end under \a prints at \a from and at each step after it.
+/// Crashes \a count targets that process \a prints, the first at \a from, the others a step apart.
+/// Returns when the last one crashed.
 SteadyTime endUnder(CrashBook &book, const std::vector<RequestPrint> &prints, int count,
                     SteadyTime from = start)
 {
@@ -32,7 +33,7 @@
     return from + (count - 1) * step;
 }
 
-/// Judges as an instance does, every tick, from \a from until a verdict can be settled.
+/// Judges as an instance does, every tick, from \a from until a quarantine decision is due.
 SteadyTime settle(CrashBook &book, SteadyTime from)
 {
     auto now = from;
@@ -88,7 +89,7 @@
             CPPUNIT_ASSERT(!Policy::printFromText(bad));
     }
 
-    // Guards against a request under which targets end being sent on while its verdict is due.
+    // Guards against sending on a request that crashes targets while its quarantine is pending.
     void requestIsHeldAtItsThirdEndAndQuarantinedSoonAfter()
     {
         CrashBook book;
@@ -110,7 +111,7 @@
         CPPUNIT_ASSERT(standing(book, innocent, now) == RequestStanding::Free);
     }
 
-    // Guards against refusing a request that was always in progress beside the one to blame.
+    // Guards against quarantining a request that was always in progress beside the poison request.
     void bystanderOfEveryEndGoesFreeWhenTheCulpritEndsOthers()
     {
         CrashBook book;
@@ -124,7 +125,7 @@
         CPPUNIT_ASSERT(!book.pending_.contains(innocent));
     }
 
-    // Guards against a verdict that rests on a part of what the fleet saw.
+    // Guards against a quarantine that rests on a part of the fleet's evidence.
     void bystanderSentencedTooEarlyIsFreedByOthersWord()
     {
         CrashBook book;
@@ -135,7 +136,7 @@
         }
         auto now = settle(book, start + 3 * step);
         CPPUNIT_ASSERT(standing(book, innocent, now) == RequestStanding::Quarantined);
-        // Others saw what else was there, and further ends.
+        // Other instances report what else was in progress, and further crashes.
         for (const auto &key : runs)
             Policy::noteEnded(book, key, {culprit}, now);
         now = endUnder(book, {culprit}, 3, now);
@@ -144,7 +145,7 @@
         CPPUNIT_ASSERT(standing(book, innocent, now) != RequestStanding::Quarantined);
     }
 
-    // Guards against blaming a common request for targets that were killed or lost their power.
+    // Guards against quarantining a common request because targets were killed or lost power.
     void targetsThatEndTogetherAccuseNobody()
     {
         CrashBook book;
@@ -173,14 +174,14 @@
         CrashBook book;
         auto now = settle(book, endUnder(book, {innocent}, 3));
         CPPUNIT_ASSERT(standing(book, innocent, now) == RequestStanding::Quarantined);
-        // It was in progress at another target all the while.
+        // It was in progress at another target throughout.
         CPPUNIT_ASSERT(Policy::noteAnswered(book, innocent, now));
         now = settle(book, now);
         CPPUNIT_ASSERT(standing(book, innocent, now) == RequestStanding::Free);
     }
 
-    // Guards against a request that ends targets whoever asks, and comes from another caller each
-    // time.
+    // Guards against missing a request that crashes targets regardless of its caller, and comes
+    // from another caller each time.
     void sameRequestOfManyCallersIsFound()
     {
         CrashBook book;
@@ -192,7 +193,7 @@
         CPPUNIT_ASSERT(standing(book, fourth, now) == RequestStanding::Quarantined);
     }
 
-    // Guards against refusing everybody what ends targets for one caller only.
+    // Guards against refusing all callers a request that crashes targets for one caller only.
     void otherCallersAreServedWhereOnlyOneIsGuilty()
     {
         CrashBook book;
@@ -203,7 +204,7 @@
         now = settle(book, now);
         CPPUNIT_ASSERT(standing(book, culprit, now) == RequestStanding::Quarantined);
         CPPUNIT_ASSERT(standing(book, other, now) == RequestStanding::Free);
-        // Its answers do not free the guilty one.
+        // Its answers do not release the poison request.
         Policy::noteAnswered(book, other, now);
         now = settle(book, now);
         CPPUNIT_ASSERT(standing(book, culprit, now) == RequestStanding::Quarantined);
@@ -223,13 +224,13 @@
         now = settle(book, now);
         CPPUNIT_ASSERT(standing(book, culprit, now) == RequestStanding::Quarantined);
         CPPUNIT_ASSERT(standing(book, second, now) == RequestStanding::Quarantined);
-        // Two that are never apart are found too, if later.
+        // Two that are always in progress together are found too, but later.
         CrashBook shared;
         now = settle(shared, endUnder(shared, {culprit, second}, 8));
         CPPUNIT_ASSERT(standing(shared, culprit, now) == RequestStanding::Quarantined);
     }
 
-    // Guards against peers that bring back what an operator lifted.
+    // Guards against peers that restore a quarantine that an operator released.
     void liftedQuarantineStaysLifted()
     {
         CrashBook book;
@@ -244,7 +245,7 @@
         settle(peer, now);
         CPPUNIT_ASSERT(standing(book, culprit, now) == RequestStanding::Free);
         CPPUNIT_ASSERT(standing(peer, culprit, now) == RequestStanding::Free);
-        // Three further ends are a verdict of their own, for twice as long.
+        // Three further crashes lead to another quarantine, for twice as long.
         now = settle(book, endUnder(book, {culprit}, 3, now));
         const auto left = Policy::inForceUntil(book.quarantines_.at(culprit)) - now;
         CPPUNIT_ASSERT(left > Policy::firstQuarantine);
@@ -267,8 +268,8 @@
 
     void newsInAnyOrderLeadsToTheSameVerdicts()
     {
-        Support::assertProperty("the order of news makes no difference", [] {
-            // Three instances see a part each; one hears all of it in any order, some twice.
+        Support::assertProperty("the order of updates makes no difference", [] {
+            // Three instances see a part each; one receives all parts in any order, some twice.
             std::vector<CrashBook> seen(3);
             const int ends = *rc::gen::inRange(3, 12);
             for (int i = 0; i < ends; ++i) {
@@ -294,7 +295,7 @@
             RC_ASSERT(one.quarantines_.contains(culprit));
             RC_ASSERT(other.quarantines_.contains(culprit));
             RC_ASSERT(!one.quarantines_.contains(innocent));
-            // What is heard again is no news.
+            // A repeated update changes nothing.
             RC_ASSERT(!Policy::takeIn(other, Policy::newsOf(one, now), now));
         });
     }
@@ -310,7 +311,7 @@
         CPPUNIT_ASSERT(left < Policy::firstQuarantine - Milliseconds(290000));
     }
 
-    // Guards against memory and messages that grow with what callers send.
+    // Guards against memory use and messages that grow with callers' input.
     void bookAndMessagesStaySmall()
     {
         CrashBook book;
@@ -340,14 +341,14 @@
                        <= Policy::mostRuns * Policy::mostSuspects + Policy::mostQuarantines);
     }
 
-    // Guards against a verdict that some instances of a large fleet learn of too late.
+    // Guards against a quarantine that reaches some instances of a large fleet too late.
     void verdictReachesALargeFleetInTime()
     {
         for (const std::size_t perDomain : {std::size_t(2), std::size_t(33)}) {
             Simulated::Fleet fleet(perDomain);
             fleet.playRounds(30);
             fleet.crashesTold_ = 0;
-            // Three ends, each seen by another instance, in another region.
+            // Three crashes, each seen by an instance in another region.
             const auto at = fleet.now_;
             for (std::size_t i = 0; i < 3; ++i) {
                 auto &node = fleet.nodes_[i * fleet.nodes_.size() / 3];
@@ -365,7 +366,7 @@
                 ++rounds;
             }
             CPPUNIT_ASSERT_MESSAGE(std::to_string(rounds) + " rounds", rounds <= 9);
-            // What was told once everywhere is not told for ever.
+            // Updates that have reached all instances are no longer sent.
             fleet.playRounds(40);
             const auto before = fleet.crashesTold_;
             const auto exchanges = fleet.exchanges_;
--- a/Tests/LibPolicy/TestLeaveSpans.cpp
+++ b/Tests/LibPolicy/TestLeaveSpans.cpp
@@ -15,7 +15,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Guards against time limits in series that are each inside the bound and together beyond it.
+    // Guards against consecutive time limits that are within the bound but exceed it in sum.
     void leaveIsInForceInTimeOnEveryWay()
     {
         const auto assertWithin = [](Milliseconds bound, Milliseconds sum) {
@@ -28,7 +28,7 @@
         assertWithin(Policy::leaveBound, Policy::sumOf(Policy::wayByProbes()));
     }
 
-    // Guards against a page that adds up other spans than the code has.
+    // Guards against a page whose limits differ from those of the code.
     void pageHasTheSpansOfTheCode()
     {
         std::ifstream file(std::string(CASSIACRANK_SOURCE) + "/docs/design/leaving-targets.md");
--- a/Tests/LibPolicy/TestPeerNews.cpp
+++ b/Tests/LibPolicy/TestPeerNews.cpp
@@ -9,8 +9,8 @@
 using Simulated::Fleet;
 using Simulated::Node;
 
-/// The oldest word that any running instance has of another one of its region, or of the contacts
-/// of other regions that it knows.
+/// Returns the age of the oldest heartbeat record that any running instance has of local members,
+/// or of remote ones.
 Milliseconds oldestWord(const Fleet &fleet, bool ofFarOnes)
 {
     Milliseconds oldest{0};
@@ -74,9 +74,8 @@
         }
     }
 
-    // Symptom: instances vanish from look-ups for moments though nothing happened to them.
-    // Sequence: none; the fleet is calm.
-    // Cause: news that takes longer than the time after which silence counts as death.
+    // Guards against live instances disappearing from look-ups for moments in a calm fleet, because
+    // updates take longer than the time after which a silent instance is considered failed.
     void livingInstancesAreNeverTakenForDead()
     {
         for (const std::size_t perDomain : sizes) {
@@ -87,7 +86,7 @@
                 const auto near = oldestWord(fleet, false);
                 CPPUNIT_ASSERT_MESSAGE(std::to_string(near.count()), near <= Policy::aliveFor);
                 for (const auto &node : fleet.nodes_) {
-                    // Of another region it is enough to know some.
+                    // Of a remote region, knowing some members suffices.
                     for (const char *region : {"r", "s", "t"})
                         CPPUNIT_ASSERT(aliveOf(fleet, node, region) >= std::min(perDomain, fewest));
                 }
@@ -95,11 +94,11 @@
         }
     }
 
-    // Symptom: a third of a calm fleet's log lines tell of instances that are lost and come back.
-    // Sequence: none; each instance hears of any instance of other regions that asks it or that a
-    //   peer happens to name, and of most of them never again.
-    // Cause: keeping whoever was heard of once, where news comes regularly of a region's contacts
-    //   only; and samples of the contacts' news that leave some out for longer than they count.
+    // Guards against a calm fleet in which a third of the log lines report instances that are lost
+    // and return. Each instance receives records of any remote instance that contacts it or that a
+    // peer names, and of most of them never again. It happens if all of these are kept, although
+    // only a region's contacts are updated regularly, or if samples of the contacts' records omit
+    // some for longer than they count as alive.
     void livingInstancesOfOtherRegionsAreNeverTakenForLost()
     {
         for (const Simulated::FleetShape &shape : largeShapes) {
@@ -113,9 +112,9 @@
         }
     }
 
-    // Symptom: five sixths of what crosses between regions is instances telling of each other.
-    // Sequence: none; 61 instances on a calm day.
-    // Cause: peers drawn from the whole fleet, and whole records of all in each message.
+    // Guards against gossip making up five sixths of the traffic between regions, in a calm fleet
+    // of 61 instances, because peers are drawn from the whole fleet and each message has the full
+    // records of all members.
     void exchangesStayInTheRegionAndMessagesStaySmall()
     {
         for (const std::size_t perDomain : sizes) {
@@ -126,7 +125,8 @@
             constexpr int rounds = 100;
             fleet.playRounds(rounds);
             const double farInRound = static_cast<double>(fleet.farExchanges_) / rounds;
-            // Three regions, each of which makes two on average, or by the part that asks afar.
+            // Each of the three regions makes two on average, or farPartOfRegion of its instances
+            // do.
             const double inRegion = std::max(Policy::farPeersOfRegionInRound,
                                              Policy::farPartOfRegion * 2.0 * double(perDomain));
             CPPUNIT_ASSERT_MESSAGE(std::to_string(farInRound), farInRound < 3 * inRegion * 1.2);
@@ -136,10 +136,9 @@
         }
     }
 
-    // Symptom: callers are sent to an instance that lost power six seconds ago.
-    // Sequence: it dies; its last heartbeat still goes round, and each that hears it for the first
-    //   time takes it for a sign of life now.
-    // Cause: counting a heartbeat's age from when it was heard instead of from when it was made.
+    // Guards against sending callers to an instance that lost power six seconds ago. Its last
+    // heartbeat still spreads, and each instance that first receives it considers it current if the
+    // heartbeat's age is counted from its arrival instead of from its increment.
     void lastWordOfADeadInstanceDoesNotKeepItAlive()
     {
         for (const std::size_t perDomain : sizes) {
@@ -147,7 +146,7 @@
             fleet.playRounds(20);
             Node &dead = fleet.nodes_.back();
             dead.isRunning_ = false;
-            // Until the near ones, and until the far ones, must have noticed; with one round more.
+            // Until local, and until remote, instances must have detected it, plus one round.
             const auto roundsIn = [](Milliseconds time) {
                 return static_cast<int>(time / Fleet::roundPeriod) + 1;
             };
@@ -169,9 +168,9 @@
         }
     }
 
-    // Symptom: after an hour's cut two regions go on as if the other one did not exist.
-    // Sequence: a region is cut off for a minute; every side takes the other one for dead.
-    // Cause: forgetting where the dead ones were, so that nobody asks them again.
+    // Guards against two regions that never rejoin after an hour's partition. A region is
+    // partitioned for a minute, and each side considers the other one failed; if failed members'
+    // addresses are dropped, no instance contacts them again.
     void halvesThatWereApartFindEachOther()
     {
         for (const std::size_t perDomain : sizes) {
@@ -200,11 +199,10 @@
         return counts;
     }
 
-    // Symptom: in a fleet of three hundred the rows of targets are most of what crosses between
-    //   failure domains.
-    // Sequence: targets register; each change is told at once to peers of the whole region, and
-    //   each fetches the rows from the one that told it.
-    // Cause: news that crosses with two fetches of three instead of once for each domain.
+    // Guards against the rows of targets being most of the traffic between failure domains in a
+    // fleet of three hundred. Each registration is announced to peers of the whole region, each of
+    // which fetches the rows from the announcer, so two fetches of three cross between domains
+    // instead of one per domain.
     void newsCrossesBetweenDomainsOnce()
     {
         Fleet fleet(Simulated::FleetShape{3, 3, 22});
@@ -222,7 +220,7 @@
             const std::map<std::string, std::size_t> inside{{"r-b", Policy::peersToldAtOnce}};
             CPPUNIT_ASSERT(passedOn == inside);
         }
-        // One that is alone in its domain passes it on to the others.
+        // An instance that is alone in its domain announces it to the others.
         for (auto &[id, member] : relay.members_) {
             if (member.instance_.domain_ == relay.instance_.domain_)
                 member.isHearsay_ = id != relay.instance_.id_;
@@ -337,9 +335,9 @@
         }
     }
 
-    // Symptom: a region goes on with an old configuration while all others have the new one.
-    // Sequence: the store turns all readers of a region away and would serve the rest of it.
-    // Cause: readers that stay readers whatever the store says to them.
+    // Guards against a region that keeps an old configuration while all others have the new one.
+    // The store refuses all readers of the region but would serve its other instances; it happens
+    // if refused instances remain readers.
     void whoIsTurnedAwayIsReplaced()
     {
         Fleet fleet(10);
--- a/Tests/LibPolicy/TestRegistrationLapse.cpp
+++ b/Tests/LibPolicy/TestRegistrationLapse.cpp
@@ -29,7 +29,7 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// One that the store answers again since \a returned.
+    /// An instance that the store has answered since \a returned.
     static StoreStanding reached(SteadyTime returned, std::uint64_t targetsRead)
     {
         return {StoreContact::Reached, returned, returned, targetsRead};
@@ -51,7 +51,7 @@
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), informed) < noticed);
     }
 
-    // Guards against a grace that is counted from the news of a removal.
+    // Guards against a grace period that is counted from the receipt of a removal.
     void graceEndsTwoSecondsAfterTheReturn()
     {
         const auto returned = noticed - Milliseconds(900);
@@ -59,7 +59,7 @@
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == returned + Policy::lapseGrace);
     }
 
-    // Guards against waiting on where another instance found the store back before this one.
+    // Guards against waiting longer if another instance saw the store recover before this one.
     void earliestReturnCounts()
     {
         const auto first = noticed - Milliseconds(1500);
@@ -68,14 +68,14 @@
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == first + Policy::lapseGrace);
     }
 
-    // Guards against dropping lapsed targets on the word of a peer whose own call still hangs.
+    // Guards against dropping expired targets on the report of a peer whose own call still hangs.
     void hearsayOfARemovalIsNoWitness()
     {
         const auto hanging = reached(longBefore, removedIn - 5);
         const auto returned = noticed - Milliseconds(100);
         const StoreEvidence reader{reached(returned, removedIn), {hanging}};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader) == returned + Policy::lapseGrace);
-        // The hanging one itself goes by the reader's word.
+        // The instance with the hanging call follows the reader's report.
         const StoreEvidence hearer{hanging, {reached(returned, removedIn)}};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), hearer) == returned + Policy::lapseGrace);
     }
@@ -87,8 +87,8 @@
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == noticed + Policy::lapseGrace);
     }
 
-    // Guards against taking an instance's start for the store's return, or for proof of its
-    // presence.
+    // Guards against considering an instance's start the store's recovery, or evidence that the
+    // store was reachable.
     void freshInstanceTakesARemovalForALeaveAndIsNoWitnessForOthers()
     {
         const auto started = noticed - Milliseconds(300);
@@ -98,7 +98,7 @@
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), other) == started + Policy::lapseGrace);
     }
 
-    // Guards against dropping all targets at once after an outage that waiting calls outlived.
+    // Guards against dropping all targets at once after an outage during which calls kept waiting.
     void manyAtOnceAreKeptForAWhileWhateverWitnessesSay()
     {
         const StoreEvidence calm{reached(longBefore, removedIn), {}};
@@ -108,7 +108,7 @@
 
     void graceIsNeverLongerThanALapseLasts()
     {
-        Support::assertProperty("a removed target is used for two seconds at the most", [] {
+        Support::assertProperty("a removed target is used for at most two seconds", [] {
             const auto standing = [] {
                 const auto contact = *rc::gen::element(
                     StoreContact::NotAsked, StoreContact::Reached, StoreContact::Refused);
@@ -125,7 +125,7 @@
         });
     }
 
-    // Guards against the word of an instance that may have gone before the store did.
+    // Guards against using the report of an instance that may have failed before the store did.
     void silentPeersAreNoWitnesses()
     {
         Policy::Members members;
--- a/Tests/LibPolicy/TestShares.cpp
+++ b/Tests/LibPolicy/TestShares.cpp
@@ -61,7 +61,7 @@
     return std::accumulate(shares.shares_.begin(), shares.shares_.end(), 0.0);
 }
 
-/// What moved, in shares, between failure domains and between regions.
+/// The shares that moved between failure domains and between regions.
 struct Movement
 {
     double domains_ = 0;
@@ -103,9 +103,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a scheduled drain floods the other failure domain.
-    // Sequence: any schedule of drains, seen at any two moments.
-    // Cause: a plan that jumps to its goal instead of walking there.
+    // Guards against a scheduled drain that overloads the other failure domain, because the planned
+    // shares jump to their goal instead of shifting gradually. Checks any schedule of drains
+    // between any two times.
     void plannedSharesNeverMoveFasterThanTheCaps()
     {
         Support::assertProperty("planned shares keep the caps", [] {
@@ -123,15 +123,14 @@
         });
     }
 
-    // Symptom: an edit of weights during a drain moves traffic at once.
-    // Sequence: a shift is under way; an operator changes weights and drains.
-    // Cause: the new plan begins at its own goal, not where the traffic stands.
+    // Guards against an edit of weights or drains during a shift that moves traffic at once,
+    // because the new plan starts at its own goal instead of at the current shares.
     void editsInTheMiddleOfAShiftDoNotMakeItJump()
     {
-        Support::assertProperty("an edit begins where the traffic stands", [] {
+        Support::assertProperty("an edit starts at the current shares", [] {
             const RandomTable random = randomTable();
             RandomTable changed = randomTable();
-            // Caps stay the same, so that one cap holds on both sides of the edit.
+            // Caps stay the same, so that one cap applies before and after the edit.
             changed.rows_[2] = random.rows_[2];
             const auto before = Model::Table::build(Model::TableVersion(1), random.rows_, {});
             auto after = Model::Table::build(Model::TableVersion(2), changed.rows_, {});
@@ -149,10 +148,9 @@
         });
     }
 
-    // Symptom: after a crash the sum over all entries moves faster than the cap.
-    // Sequence: several entries step at random times; failure domains go out and come back; entries
-    //   restart from what a peer tells.
-    // Cause: entries that each jump, or a fresh one that begins at the goal.
+    // Guards against the sum over all entries moving faster than the cap after a crash, because an
+    // entry jumps, or a fresh one starts at the goal. Several entries update at random times,
+    // failure domains fail and recover, and entries restart from a peer's shares.
     void entriesThatStepAtAnyTimesStayWithinTheCaps()
     {
         Support::assertProperty("any interleaving of any number of entries keeps the caps", [] {
