--- a/Libraries/LibPolicy/CrashEvidence.h
+++ b/Libraries/LibPolicy/CrashEvidence.h
@@ -63,22 +63,22 @@
 /// Upper bounds on the entries of a CrashBook; beyond them the oldest are dropped.
 constexpr std::size_t mostRuns = 128;
 constexpr std::size_t mostSuspects = 48;
-constexpr std::size_t mostQuarantines = 256;
+constexpr std::size_t maxQuarantines = 256;
 
 /// Crashes count as evidence for this duration, and a first quarantine lasts this long from the
-/// decision; each further one lasts twice as long, up to longestQuarantine.
+/// decision; each further one lasts twice as long, up to maxQuarantineDuration.
 constexpr Model::Milliseconds firstQuarantine{600000};
-constexpr Model::Milliseconds longestQuarantine{86400000};
+constexpr Model::Milliseconds maxQuarantineDuration{86400000};
 /// Incarnations that end within this time count as one crash: targets that are killed or lose power
 /// together.
-constexpr Model::Milliseconds sameInstant{100};
+constexpr Model::Milliseconds simultaneousCrashWindow{100};
 /// The number of distinct crash times needed to quarantine a request. After a quarantine has
 /// expired, one is enough.
-constexpr std::size_t instantsForVerdict = 3;
+constexpr std::size_t crashTimesForQuarantine = 3;
 /// After this many crash times a request is sent to one target at a time.
-constexpr std::size_t instantsForTrial = 2;
+constexpr std::size_t crashTimesForProbe = 2;
 /// A request that always crashes targets together with others is quarantined after this many.
-constexpr std::size_t instantsForSharedVerdict = 8;
+constexpr std::size_t crashTimesForSharedQuarantine = 8;
 /// Other instances' reports of what else was in progress arrive within this time.
 constexpr Model::Milliseconds settleTime{600};
 /// Requests that lost their connection to a target are attributed to its crash if the crash is
@@ -89,20 +89,21 @@
 /// Unchanged records are reviewed for expired entries at this interval.
 constexpr Model::Milliseconds reviewPause{1000};
 /// A quarantine decision can be reconsidered on other instances' reports within this time.
-constexpr Model::Milliseconds appealTime{5000};
+constexpr Model::Milliseconds reconsiderationTime{5000};
 
-/// Records that \a run crashed while requests with \a prints were in progress there. Reports with
-/// the same key are merged. Thread safety: \a book belongs to the calling thread.
-void noteEnded(CrashBook &book, RunKey run, const std::vector<RequestPrint> &prints,
+/// Records that the incarnation \a crashed ended while requests with \a fingerprints were in
+/// progress there. Reports with the same key are merged. Thread safety: \a records belongs to the
+/// calling thread.
+void noteEnded(CrashBook &records, RunKey crashed, const std::vector<RequestPrint> &fingerprints,
                Model::SteadyTime now);
 
 /// Records that a target answered a request: clears it in all incarnations and releases its
 /// quarantine. Returns whether a quarantine was released. Thread safety: as above.
-bool noteAnswered(CrashBook &book, const RequestPrint &print, Model::SteadyTime now);
+bool noteAnswered(CrashBook &records, const RequestPrint &fingerprint, Model::SteadyTime now);
 
-/// Releases the quarantine of \a print on an operator's request. Returns whether one was in force.
-/// Thread safety: as above.
-bool liftQuarantine(CrashBook &book, const RequestPrint &print, Model::SteadyTime now);
+/// Releases the quarantine of \a fingerprint on an operator's request. Returns whether one was in
+/// force. Thread safety: as above.
+bool liftQuarantine(CrashBook &records, const RequestPrint &fingerprint, Model::SteadyTime now);
 
 /// The changes that judge() made.
 struct Verdicts
@@ -117,7 +118,7 @@
 /// target has answered it, and no other request was in progress in nearly all of those crashes.
 /// Crashes that involve a quarantined request are no evidence against the others. Thread safety: as
 /// above.
-Verdicts judge(CrashBook &book, Model::SteadyTime now);
+Verdicts judge(CrashBook &records, Model::SteadyTime now);
 
 /// Returns when a quarantine that has not been released expires; a time in the past otherwise.
 /// Thread safety: any thread.
@@ -144,31 +145,32 @@
         Model::SteadyTime until_;
     };
     /// The fingerprint prefixes of all suspects and of all quarantined requests, sorted.
-    std::vector<std::uint32_t> heads_;
+    std::vector<std::uint32_t> prefixes_;
     /// Requests that are not Free, by RequestPrint::request_.
     std::unordered_multimap<std::uint64_t, Entry> entries_;
 
-    bool isEmpty() const { return heads_.empty(); }
-    /// Returns false if no request with prefix \a head is a suspect; its full fingerprint is then
+    bool isEmpty() const { return prefixes_.empty(); }
+    /// Returns false if no request with \a prefix is a suspect; its full fingerprint is then
     /// not needed.
-    bool mayHold(std::uint32_t head) const
+    bool mayHold(std::uint32_t prefix) const
     {
-        return std::binary_search(heads_.begin(), heads_.end(), head);
+        return std::binary_search(prefixes_.begin(), prefixes_.end(), prefix);
     }
 };
 
-/// Returns the index of \a book at \a now.
+/// Returns the index of \a records at \a now.
 /// Thread safety: any thread.
-CrashView viewOf(const CrashBook &book, Model::SteadyTime now);
+CrashView viewOf(const CrashBook &records, Model::SteadyTime now);
 
-struct StandingNow
+struct CurrentStanding
 {
     RequestStanding standing_ = RequestStanding::Free;
     /// When to retry, if the request is refused.
     Model::SteadyTime until_;
 };
 
-/// Returns how a request with \a print may be sent. Thread safety: any thread.
-StandingNow standingOf(const CrashView &view, const RequestPrint &print, Model::SteadyTime now);
+/// Returns how a request with \a fingerprint may be sent. Thread safety: any thread.
+CurrentStanding standingOf(const CrashView &view, const RequestPrint &fingerprint,
+                           Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/CrashNews.cpp
+++ b/Libraries/LibPolicy/CrashNews.cpp
@@ -27,89 +27,89 @@
     items.resize(most);
 }
 
-bool takeRun(CrashBook &book, const ToldRun &told, SteadyTime now)
+bool mergeCrash(CrashBook &records, const ToldRun &received, SteadyTime now)
 {
-    if (told.age_ > firstQuarantine)
+    if (received.age_ > firstQuarantine)
         return false;
-    const bool wasChanged = std::exchange(book.isChanged_, false);
-    std::vector<RequestPrint> prints;
-    const auto count = std::min(told.suspects_.size(), mostSuspects);
+    const bool wasChanged = std::exchange(records.isChanged_, false);
+    std::vector<RequestPrint> fingerprints;
+    const auto count = std::min(received.suspects_.size(), mostSuspects);
     for (std::size_t i = 0; i < count; ++i)
-        prints.push_back(told.suspects_[i].print_);
-    noteEnded(book, told.run_, prints, now);
-    bool isNews = std::exchange(book.isChanged_, wasChanged);
-    const auto found = book.runs_.find(told.run_);
+        fingerprints.push_back(received.suspects_[i].print_);
+    noteEnded(records, received.run_, fingerprints, now);
+    bool hasChanged = std::exchange(records.isChanged_, wasChanged);
+    const auto found = records.runs_.find(received.run_);
     // It is dropped again if the records are full of younger ones.
-    if (found == book.runs_.end())
-        return isNews;
-    EndedRun &run = found->second;
-    run.endedAt_ = std::min(run.endedAt_, now - told.age_);
+    if (found == records.runs_.end())
+        return hasChanged;
+    EndedRun &crashed = found->second;
+    crashed.endedAt_ = std::min(crashed.endedAt_, now - received.age_);
     for (std::size_t i = 0; i < count; ++i) {
-        for (auto &suspect : run.suspects_) {
-            const bool isCleared = told.suspects_[i].isCleared_ && !suspect.isCleared_
-                                   && suspect.print_ == told.suspects_[i].print_;
+        for (auto &suspect : crashed.suspects_) {
+            const bool isCleared = received.suspects_[i].isCleared_ && !suspect.isCleared_
+                                   && suspect.print_ == received.suspects_[i].print_;
             if (!isCleared)
                 continue;
             suspect.isCleared_ = true;
-            run.changedAt_ = now;
-            isNews = true;
+            crashed.changedAt_ = now;
+            hasChanged = true;
         }
     }
-    book.isChanged_ |= isNews;
-    return isNews;
+    records.isChanged_ |= hasChanged;
+    return hasChanged;
 }
 
-bool takeQuarantine(CrashBook &book, const ToldQuarantine &told, SteadyTime now)
+bool mergeQuarantine(CrashBook &records, const ToldQuarantine &received, SteadyTime now)
 {
-    const auto since = now - std::clamp(told.age_, Milliseconds(0), longestQuarantine);
-    const auto [found, isNew] = book.quarantines_.try_emplace(told.print_);
+    const auto since = now - std::clamp(received.age_, Milliseconds(0), maxQuarantineDuration);
+    const auto [found, isNew] = records.quarantines_.try_emplace(received.print_);
     Quarantine &held = found->second;
-    bool isNews = isNew || told.generation_ > held.generation_;
-    if (isNews) {
-        held.generation_ = told.generation_;
+    bool hasChanged = isNew || received.generation_ > held.generation_;
+    if (hasChanged) {
+        held.generation_ = received.generation_;
         held.since_ = since;
-    } else if (told.generation_ == held.generation_) {
+    } else if (received.generation_ == held.generation_) {
         held.since_ = std::min(held.since_, since);
     }
-    if (told.lifted_ > held.lifted_) {
-        isNews = true;
+    if (received.lifted_ > held.lifted_) {
+        hasChanged = true;
         // The evidence behind the released quarantine must not renew it.
-        if (told.lifted_ >= held.generation_)
-            liftQuarantine(book, told.print_, now);
-        held.lifted_ = told.lifted_;
+        if (received.lifted_ >= held.generation_)
+            liftQuarantine(records, received.print_, now);
+        held.lifted_ = received.lifted_;
     }
-    book.isChanged_ |= isNews;
-    return isNews;
+    records.isChanged_ |= hasChanged;
+    return hasChanged;
 }
 
 } // namespace
 
-CrashNews newsOf(const CrashBook &book, SteadyTime now)
+CrashNews newsOf(const CrashBook &records, SteadyTime now)
 {
-    CrashNews news;
-    for (const auto &[key, run] : book.runs_) {
-        if (now - run.changedAt_ <= runTellTime)
-            news.runs_.push_back({key, ageOf(run.endedAt_, now), run.suspects_});
+    CrashNews update;
+    for (const auto &[key, crashed] : records.runs_) {
+        if (now - crashed.changedAt_ <= crashSendTime)
+            update.runs_.push_back({key, ageOf(crashed.endedAt_, now), crashed.suspects_});
     }
-    keepYoungest(news.runs_, mostRunsTold);
-    for (const auto &[print, quarantine] : book.quarantines_) {
-        news.quarantines_.push_back(
-            {print, quarantine.generation_, quarantine.lifted_, ageOf(quarantine.since_, now)});
+    keepYoungest(update.runs_, maxCrashesInUpdate);
+    for (const auto &[fingerprint, quarantine] : records.quarantines_) {
+        update.quarantines_.push_back({fingerprint, quarantine.generation_, quarantine.lifted_,
+                                       ageOf(quarantine.since_, now)});
     }
-    keepYoungest(news.quarantines_, mostQuarantinesTold);
-    return news;
+    keepYoungest(update.quarantines_, maxQuarantinesInUpdate);
+    return update;
 }
 
-bool takeIn(CrashBook &book, const CrashNews &news, SteadyTime now)
+bool takeIn(CrashBook &records, const CrashNews &update, SteadyTime now)
 {
-    bool isNews = false;
-    const auto runs = std::min(news.runs_.size(), mostRunsTold);
-    for (std::size_t i = 0; i < runs; ++i)
-        isNews |= takeRun(book, news.runs_[i], now);
-    const auto quarantines = std::min(news.quarantines_.size(), mostQuarantinesTold);
+    bool hasChanged = false;
+    const auto crashes = std::min(update.runs_.size(), maxCrashesInUpdate);
+    for (std::size_t i = 0; i < crashes; ++i)
+        hasChanged |= mergeCrash(records, update.runs_[i], now);
+    const auto quarantines = std::min(update.quarantines_.size(), maxQuarantinesInUpdate);
     for (std::size_t i = 0; i < quarantines; ++i)
-        isNews |= takeQuarantine(book, news.quarantines_[i], now);
-    return isNews;
+        hasChanged |= mergeQuarantine(records, update.quarantines_[i], now);
+    return hasChanged;
 }
 
 } // namespace Policy
--- a/Libraries/LibPolicy/CrashNews.h
+++ b/Libraries/LibPolicy/CrashNews.h
@@ -32,19 +32,19 @@
 };
 
 /// Upper bounds on the entries of one message.
-constexpr std::size_t mostRunsTold = 24;
-constexpr std::size_t mostQuarantinesTold = 64;
+constexpr std::size_t maxCrashesInUpdate = 24;
+constexpr std::size_t maxQuarantinesInUpdate = 64;
 /// Changes to a crashed incarnation are sent for this duration, in which they reach all instances.
 /// Quarantines are sent for as long as they are recorded, so they also reach an instance that
 /// starts or was partitioned off.
-constexpr Model::Milliseconds runTellTime{6000};
+constexpr Model::Milliseconds crashSendTime{6000};
 
-/// Returns the update on \a book to send to other instances. Thread safety: any thread.
-CrashNews newsOf(const CrashBook &book, Model::SteadyTime now);
+/// Returns the update on \a records to send to other instances. Thread safety: any thread.
+CrashNews newsOf(const CrashBook &records, Model::SteadyTime now);
 
 /// Merges an update from another instance; entries beyond the limits of a message are ignored.
 /// Idempotent and independent of the order of updates. Returns whether anything changed.
-/// Thread safety: \a book belongs to the calling thread.
-bool takeIn(CrashBook &book, const CrashNews &news, Model::SteadyTime now);
+/// Thread safety: \a records belongs to the calling thread.
+bool takeIn(CrashBook &records, const CrashNews &update, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Dissemination.cpp
+++ b/Libraries/LibPolicy/Dissemination.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Model::Milliseconds leastPollPeriod{100};
+constexpr Model::Milliseconds minPollPeriod{100};
 
 } // namespace
 
@@ -15,7 +15,7 @@
     const double seconds = static_cast<double>(std::max<std::size_t>(1, members))
                            / std::max(0.001, fleetReadsPerSecond);
     const Model::Milliseconds period(static_cast<long long>(seconds * 1000));
-    return std::max(leastPollPeriod, period);
+    return std::max(minPollPeriod, period);
 }
 
 std::vector<std::size_t> choosePeers(std::size_t members, std::size_t count,
--- a/Libraries/LibPolicy/DomainPicker.cpp
+++ b/Libraries/LibPolicy/DomainPicker.cpp
@@ -8,7 +8,7 @@
 
 constexpr double negligible = 1e-9;
 
-std::optional<std::size_t> mostOwed(const DomainCredits &credits, const ShareVector &shares)
+std::optional<std::size_t> mostOwedDomain(const DomainCredits &credits, const ShareVector &shares)
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < shares.shares_.size(); ++i) {
@@ -21,8 +21,9 @@
 }
 
 /// Returns another local failure domain with a free slot that is not too far ahead of its share.
-std::optional<std::size_t> standIn(const DomainCredits &credits, const ShareVector &shares,
-                                   const std::vector<DomainView> &views, double maximumDebt)
+std::optional<std::size_t> substituteDomain(const DomainCredits &credits, const ShareVector &shares,
+                                            const std::vector<DomainView> &views,
+                                            double maximumDebt)
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < views.size(); ++i) {
@@ -61,7 +62,7 @@
 
     for (std::size_t i = 0; i < shares.shares_.size(); ++i)
         credits.credits_[i] += shares.shares_[i];
-    const auto owed = mostOwed(credits, shares);
+    const auto owed = mostOwedDomain(credits, shares);
     if (!owed)
         return {DomainVerdict::NoneUsable, 0};
 
@@ -71,7 +72,7 @@
         return {DomainVerdict::ShiftLimited, chosen};
     }
     if (views[chosen].isNear_ && !views[chosen].hasFreeSlot_)
-        chosen = standIn(credits, shares, views, maximumDebt).value_or(chosen);
+        chosen = substituteDomain(credits, shares, views, maximumDebt).value_or(chosen);
     credits.credits_[chosen] -= 1;
     forgetOldCredits(credits, shares, maximumDebt);
     return {DomainVerdict::Chosen, chosen};
--- a/Libraries/LibPolicy/EntryFailures.cpp
+++ b/Libraries/LibPolicy/EntryFailures.cpp
@@ -16,18 +16,18 @@
                                        const std::vector<Model::Instance> &entries,
                                        std::uint64_t draw, Model::SteadyTime now)
 {
-    std::vector<std::size_t> sound;
+    std::vector<std::size_t> usable;
     std::optional<std::size_t> due;
     for (std::size_t i = 0; i < entries.size(); ++i) {
         const auto lost = failures.notBefore_.find(entries[i].addresses_.entryPeer_);
         if (lost == failures.notBefore_.end()) {
-            sound.push_back(i);
+            usable.push_back(i);
         } else if (lost->second <= now) {
             due = i;
         }
     }
-    if (!sound.empty())
-        return sound[draw % sound.size()];
+    if (!usable.empty())
+        return usable[draw % usable.size()];
     if (due)
         noteEntryLost(failures, entries[*due].addresses_.entryPeer_, now);
     return due;
--- a/Libraries/LibPolicy/EntryRanking.cpp
+++ b/Libraries/LibPolicy/EntryRanking.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 /// In order of preference; leaving entries are used only in the caller's own region.
-enum class Rank { Near, SameRegion, LeavingInRegion, Elsewhere };
+enum class Rank { SameDomain, SameRegion, LeavingInRegion, OtherRegion };
 
 Rank rankOf(const LookupQuery &query, const Model::Instance &instance)
 {
     if (instance.region_ != query.origin_)
-        return Rank::Elsewhere;
+        return Rank::OtherRegion;
     if (instance.isLeaving_)
         return Rank::LeavingInRegion;
     const bool isNear = query.nearDomain_.isEmpty() || instance.domain_ == query.nearDomain_;
-    return isNear ? Rank::Near : Rank::SameRegion;
+    return isNear ? Rank::SameDomain : Rank::SameRegion;
 }
 
 /// Returns whether the caller's own region has a live entry that is not leaving.
@@ -37,13 +37,13 @@
 std::vector<Model::Instance> entriesOfRegion(const LookupQuery &query,
                                              const std::vector<EntryCandidate> &candidates)
 {
-    const bool hasOwn = hasStayingEntry(query, candidates);
+    const bool hasLocal = hasStayingEntry(query, candidates);
     std::vector<Model::Instance> entries;
     for (const auto &candidate : candidates) {
         const auto &instance = candidate.instance_;
         if (!candidate.isAlive_ || instance.isLeaving_)
             continue;
-        if (!hasOwn || instance.region_ == query.origin_)
+        if (!hasLocal || instance.region_ == query.origin_)
             entries.push_back(instance);
     }
     return entries;
@@ -79,15 +79,15 @@
     std::sort(ranked.begin(), ranked.end(), [](const Ranked &a, const Ranked &b) {
         return std::tie(a.rank_, b.score_) < std::tie(b.rank_, a.score_);
     });
-    const auto elsewhere = std::find_if(ranked.begin(), ranked.end(), [](const Ranked &item) {
-        return item.rank_ == Rank::Elsewhere;
+    const auto firstRemote = std::find_if(ranked.begin(), ranked.end(), [](const Ranked &item) {
+        return item.rank_ == Rank::OtherRegion;
     });
     // An unreachable entry costs only a refused connection, so callers of a failed region reach a
     // live entry at once, long before the look-ups detect the failure.
-    const bool wouldBeLeftOut
-        = elsewhere != ranked.end() && static_cast<std::size_t>(elsewhere - ranked.begin()) >= most;
+    const bool wouldBeLeftOut = firstRemote != ranked.end()
+                                && static_cast<std::size_t>(firstRemote - ranked.begin()) >= most;
     if (wouldBeLeftOut && most > 1)
-        std::iter_swap(elsewhere, ranked.begin() + static_cast<std::ptrdiff_t>(most - 1));
+        std::iter_swap(firstRemote, ranked.begin() + static_cast<std::ptrdiff_t>(most - 1));
     ranked.resize(std::min(most, ranked.size()));
     std::vector<Model::Instance> entries;
     for (const auto &item : ranked)
--- a/Libraries/LibPolicy/LeaveSpans.cpp
+++ b/Libraries/LibPolicy/LeaveSpans.cpp
@@ -2,7 +2,7 @@
 
 namespace Policy {
 
-std::vector<LeaveSpan> wayByOwnCall()
+std::vector<LeaveSpan> leavePathByLocalCall()
 {
     return {
         {"gather", gatherTargets},
@@ -12,12 +12,12 @@
     };
 }
 
-std::vector<LeaveSpan> wayByNewCall()
+std::vector<LeaveSpan> leavePathByNewCall()
 {
     return {
         {"gather", gatherTargets},
         {"store_answer", storeAnswer},
-        {"peer_rounds", roundsInSmallFleet * peerRound},
+        {"peer_rounds", gossipRoundsInSmallFleet * peerRound},
         {"reader_patience", readerPatience},
         {"tick", tickPeriod},
         {"new_store_answer", storeAnswerOnNewConnection},
@@ -26,7 +26,7 @@
     };
 }
 
-std::vector<LeaveSpan> wayOfUnannouncedLeaves()
+std::vector<LeaveSpan> leavePathWithoutAnnouncement()
 {
     return {
         {"gather", gatherTargets}, {"store_answer", storeAnswer}, {"grace", unseenLapseGrace},
@@ -34,7 +34,7 @@
     };
 }
 
-std::vector<LeaveSpan> wayByPeers()
+std::vector<LeaveSpan> leavePathByPeers()
 {
     return {
         {"gather_in_reserve", gatherInReserve},
@@ -48,21 +48,21 @@
     };
 }
 
-std::vector<LeaveSpan> wayByProbes()
+std::vector<LeaveSpan> leavePathByProbes()
 {
     return {
-        {"probe_pauses", (probesLost + 1) * probePause},
+        {"probe_pauses", (maxLostProbes + 1) * probePause},
         {"probe", probeTimeout},
         {"watch", tickPeriod},
         {"send", sendPatience},
     };
 }
 
-Model::Milliseconds sumOf(const std::vector<LeaveSpan> &way)
+Model::Milliseconds totalLimit(const std::vector<LeaveSpan> &path)
 {
     Model::Milliseconds sum{0};
-    for (const auto &span : way)
-        sum += span.longest_;
+    for (const auto &span : path)
+        sum += span.limit_;
     return sum;
 }
 
--- a/Libraries/LibPolicy/LeaveSpans.h
+++ b/Libraries/LibPolicy/LeaveSpans.h
@@ -25,7 +25,7 @@
 constexpr Model::Milliseconds peerRound{400};
 /// Rounds after which an instance of a small fleet has reached a live peer of its region, even if
 /// the peers of one round have all stopped.
-constexpr int roundsInSmallFleet = 2;
+constexpr int gossipRoundsInSmallFleet = 2;
 /// The number of successive announcements that carry a change from a reader to the last instance of
 /// its region, and the time that one of them and the fetch of the rows take.
 constexpr int announcementHops = 4;
@@ -48,35 +48,35 @@
 struct LeaveSpan
 {
     std::string_view name_;
-    Model::Milliseconds longest_{0};
+    Model::Milliseconds limit_{0};
 };
 
 /// In a fleet in which each instance reads the store, and the local call waits as intended.
-std::vector<LeaveSpan> wayByOwnCall();
+std::vector<LeaveSpan> leavePathByLocalCall();
 
 /// In such a fleet, where the local call hangs: a peer announces a change, and the store is called
 /// again.
-std::vector<LeaveSpan> wayByNewCall();
+std::vector<LeaveSpan> leavePathByNewCall();
 
 /// Where several targets leave unannounced: they are used for a grace period, which begins when any
 /// instance first reads their removal; a late update does not prolong it.
-std::vector<LeaveSpan> wayOfUnannouncedLeaves();
+std::vector<LeaveSpan> leavePathWithoutAnnouncement();
 
 /// In a larger fleet, at an instance that does not read the store, where the active reader of its
 /// region has failed and so has the peer that it asks first.
-std::vector<LeaveSpan> wayByPeers();
+std::vector<LeaveSpan> leavePathByPeers();
 
 /// The three daemons: an entry learns of a leave from the target itself, regardless of the store.
 constexpr Model::Milliseconds probePause{500};
 constexpr Model::Milliseconds probeTimeout{400};
 /// Consecutive probes that may be lost while the target still answers.
-constexpr int probesLost = 2;
+constexpr int maxLostProbes = 2;
 
 /// From the target's announcement that it leaves to the last byte that an entry sends there.
-std::vector<LeaveSpan> wayByProbes();
+std::vector<LeaveSpan> leavePathByProbes();
 
-/// Returns the sum of the limits of \a way. Thread safety: any thread.
-Model::Milliseconds sumOf(const std::vector<LeaveSpan> &way);
+/// Returns the sum of the limits of \a path. Thread safety: any thread.
+Model::Milliseconds totalLimit(const std::vector<LeaveSpan> &path);
 
 /// A leave must be in force within these times: in a small fleet and at the daemons; in a larger
 /// fleet.
--- a/Libraries/LibPolicy/Liveness.cpp
+++ b/Libraries/LibPolicy/Liveness.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-/// Returns whether \a said is of a later incarnation than \a known. A lower incarnation is the
+/// Returns whether \a reported is of a later incarnation than \a known. A lower incarnation is the
 /// later one if its machine's clock was set back before it began: then the other one has been
 /// silent, and any report on it is older than the known one.
-bool isLaterRun(const Member &said, const Member &known, Model::SteadyTime heardAt)
+bool isLaterIncarnation(const Member &reported, const Member &known, Model::SteadyTime heardAt)
 {
-    if (said.pulse_.incarnation_ > known.pulse_.incarnation_)
+    if (reported.pulse_.incarnation_ > known.pulse_.incarnation_)
         return heardAt >= known.heardAt_;
     return heardAt - known.heardAt_ > aliveFor;
 }
 
-bool isNews(const Member &said, const Member &known, Model::SteadyTime heardAt)
+bool isNewer(const Member &reported, const Member &known, Model::SteadyTime heardAt)
 {
-    if (said.pulse_.incarnation_ != known.pulse_.incarnation_)
-        return isLaterRun(said, known, heardAt);
-    return said.pulse_.heartbeat_ > known.pulse_.heartbeat_;
+    if (reported.pulse_.incarnation_ != known.pulse_.incarnation_)
+        return isLaterIncarnation(reported, known, heardAt);
+    return reported.pulse_.heartbeat_ > known.pulse_.heartbeat_;
 }
 
-bool wasHeardOfLately(const Member &member, Model::SteadyTime now)
+bool hasRecentHeartbeat(const Member &member, Model::SteadyTime now)
 {
-    return !member.isHearsay_ && now - member.heardAt_ <= rememberedFor;
+    return !member.isHearsay_ && now - member.heardAt_ <= memberCountingTime;
 }
 
 } // namespace
 
-bool hearOf(Members &members, const Member &said, Model::SteadyTime heardAt)
+bool hearOf(Members &members, const Member &reported, Model::SteadyTime heardAt)
 {
-    const auto [place, isNew] = members.try_emplace(said.instance_.id_);
-    Member &known = place->second;
-    const bool isFirstWord = known.isHearsay_ && !said.isHearsay_;
-    if (!isNew && !isFirstWord && !isNews(said, known, heardAt))
+    const auto [position, isNew] = members.try_emplace(reported.instance_.id_);
+    Member &known = position->second;
+    const bool isFirstHeartbeat = known.isHearsay_ && !reported.isHearsay_;
+    if (!isNew && !isFirstHeartbeat && !isNewer(reported, known, heardAt))
         return false;
-    known = said;
+    known = reported;
     known.heardAt_ = heardAt;
     return true;
 }
@@ -48,8 +48,8 @@
     if (found == members.end())
         return false;
     Member &known = found->second;
-    const bool isSameRun = known.pulse_.incarnation_ == pulse.incarnation_;
-    if (!isSameRun || pulse.heartbeat_ <= known.pulse_.heartbeat_)
+    const bool isSameIncarnation = known.pulse_.incarnation_ == pulse.incarnation_;
+    if (!isSameIncarnation || pulse.heartbeat_ <= known.pulse_.heartbeat_)
         return false;
     known.pulse_ = pulse;
     known.heardAt_ = now - pulse.age_;
@@ -67,30 +67,30 @@
 
 bool isAlive(const Member &member, Model::SteadyTime now)
 {
-    const auto patience = member.isFar_ ? farAliveFor : aliveFor;
-    return !member.isHearsay_ && now - member.heardAt_ <= patience;
+    const auto maxAge = member.isFar_ ? farAliveFor : aliveFor;
+    return !member.isHearsay_ && now - member.heardAt_ <= maxAge;
 }
 
 void forgetSilent(Members &members, const Model::InstanceId &own, Model::SteadyTime now)
 {
     std::erase_if(members, [&](const auto &entry) {
-        return entry.first != own && now - entry.second.heardAt_ > contactFor;
+        return entry.first != own && now - entry.second.heardAt_ > silentMemberRetention;
     });
 }
 
 std::size_t entriesIn(const Members &members, const Model::RegionId &region, Model::SteadyTime now)
 {
-    std::size_t heardOf = 0;
+    std::size_t withRecentHeartbeat = 0;
     std::size_t counted = 0;
     for (const auto &[id, member] : members) {
-        if (member.instance_.region_ != region || !wasHeardOfLately(member, now))
+        if (member.instance_.region_ != region || !hasRecentHeartbeat(member, now))
             continue;
-        ++heardOf;
+        ++withRecentHeartbeat;
         // Counts of local instances add nothing to the members counted here.
         if (member.isFar_)
             counted = std::max<std::size_t>(counted, member.pulse_.regionEntries_);
     }
-    return std::max(heardOf, counted);
+    return std::max(withRecentHeartbeat, counted);
 }
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Liveness.h
+++ b/Libraries/LibPolicy/Liveness.h
@@ -71,11 +71,11 @@
 
 /// Limits stay divided among the instances whose last heartbeat is at most this old, since they may
 /// still run.
-constexpr Model::Milliseconds rememberedFor{15000};
+constexpr Model::Milliseconds memberCountingTime{15000};
 
 /// Silent instances are still contacted occasionally for this duration after their last heartbeat,
 /// so that two parts of a fleet that were partitioned for minutes rejoin.
-constexpr Model::Milliseconds contactFor{600000};
+constexpr Model::Milliseconds silentMemberRetention{600000};
 
 /// Merges a peer's record of an instance whose heartbeat was incremented at \a heardAt. Returns
 /// whether it is newer than the known one.
@@ -85,7 +85,7 @@
 /// machine's clock; if that was set back before the restart, the later incarnation is accepted once
 /// the earlier one has been silent for longer than a live one can be.
 /// Thread safety: \a members belongs to the calling thread.
-bool hearOf(Members &members, const Member &said, Model::SteadyTime heardAt);
+bool hearOf(Members &members, const Member &reported, Model::SteadyTime heardAt);
 
 /// Merges the heartbeat record of an incarnation that is already known; any other is ignored.
 /// Returns and thread safety: as above.
@@ -97,12 +97,12 @@
 /// Returns whether \a member is considered alive. Thread safety: any thread.
 bool isAlive(const Member &member, Model::SteadyTime now);
 
-/// Removes members whose last heartbeat is older than contactFor, except \a own.
+/// Removes members whose last heartbeat is older than silentMemberRetention, except \a own.
 /// Thread safety: \a members belongs to the calling thread.
 void forgetSilent(Members &members, const Model::InstanceId &own, Model::SteadyTime now);
 
 /// Returns how many instances of \a region may still run: those whose last heartbeat is at most
-/// rememberedFor old, or the highest count that one of them reports, if that is more.
+/// memberCountingTime old, or the highest count that one of them reports, if that is more.
 /// Thread safety: any thread.
 std::size_t entriesIn(const Members &members, const Model::RegionId &region, Model::SteadyTime now);
 
--- a/Libraries/LibPolicy/PeerNews.cpp
+++ b/Libraries/LibPolicy/PeerNews.cpp
@@ -13,42 +13,43 @@
 namespace {
 
 using Random = std::minstd_rand;
-using Chosen = std::vector<const Member *>;
+using MemberList = std::vector<const Member *>;
 
 Random randomFrom(std::uint64_t seed)
 {
     return Random(static_cast<Random::result_type>(seed ^ (seed >> 32U)));
 }
 
-Chosen sampled(const Chosen &from, std::size_t count, Random &random)
+MemberList sampled(const MemberList &from, std::size_t count, Random &random)
 {
-    Chosen result;
+    MemberList result;
     std::sample(from.begin(), from.end(), std::back_inserter(result), count, random);
     return result;
 }
 
-/// Returns the live members for which \a isWanted holds, without \a own.
-template <typename Wanted>
-Chosen aliveWhere(const Members &members, const Model::Instance &own, Model::SteadyTime now,
-                  Wanted isWanted)
+/// Returns the live members for which \a predicate holds, without \a own.
+template <typename Predicate>
+MemberList aliveWhere(const Members &members, const Model::Instance &own, Model::SteadyTime now,
+                      Predicate predicate)
 {
-    Chosen result;
+    MemberList result;
     for (const auto &[id, member] : members) {
-        if (id != own.id_ && isAlive(member, now) && isWanted(member))
+        if (id != own.id_ && isAlive(member, now) && predicate(member))
             result.push_back(&member);
     }
     return result;
 }
 
-Chosen aliveIn(const Members &members, const Model::Instance &own, const Model::RegionId &region,
-               Model::SteadyTime now)
+MemberList aliveIn(const Members &members, const Model::Instance &own,
+                   const Model::RegionId &region, Model::SteadyTime now)
 {
     return aliveWhere(members, own, now, [&](const Member &member) {
         return member.instance_.region_ == region;
     });
 }
 
-Chosen aliveElsewhere(const Members &members, const Model::Instance &own, Model::SteadyTime now)
+MemberList aliveInOtherRegions(const Members &members, const Model::Instance &own,
+                               Model::SteadyTime now)
 {
     return aliveWhere(members, own, now, [&](const Member &member) {
         return member.instance_.region_ != own.region_;
@@ -57,19 +58,19 @@
 
 /// Returns the members that are considered failed, of the local region and of regions without a
 /// live member.
-Chosen lostMembers(const Members &members, const Model::Instance &own, const Chosen &far,
-                   Model::SteadyTime now)
+MemberList unreachableMembers(const Members &members, const Model::Instance &own,
+                              const MemberList &remote, Model::SteadyTime now)
 {
     std::set<Model::RegionId> reached;
-    for (const Member *member : far)
+    for (const Member *member : remote)
         reached.insert(member->instance_.region_);
-    Chosen lost;
+    MemberList failed;
     for (const auto &[id, member] : members) {
         const auto &region = member.instance_.region_;
         if (id != own.id_ && !isAlive(member, now) && !reached.contains(region))
-            lost.push_back(&member);
+            failed.push_back(&member);
     }
-    return lost;
+    return failed;
 }
 
 /// The order in which the instances of a region are chosen as its contacts.
@@ -85,11 +86,11 @@
     for (const auto &[id, member] : members)
         regions.insert(member.instance_.region_);
     const std::size_t others = std::max<std::size_t>(1, regions.size() - 1);
-    return std::clamp(mostContacts / others, fewestContactsOfRegion, contactsOfRegion);
+    return std::clamp(maxRemoteContacts / others, minContactsOfRegion, contactsOfRegion);
 }
 
 /// Returns the contacts among the \a members of a region: the same ones on every instance.
-Chosen contactsAmong(Chosen members, std::size_t count)
+MemberList contactsAmong(MemberList members, std::size_t count)
 {
     if (members.size() <= count)
         return members;
@@ -98,12 +99,12 @@
     return members;
 }
 
-void append(Chosen &to, const Chosen &more)
+void append(MemberList &to, const MemberList &more)
 {
     to.insert(to.end(), more.begin(), more.end());
 }
 
-std::vector<Model::Instance> instancesOf(const Chosen &members)
+std::vector<Model::Instance> instancesOf(const MemberList &members)
 {
     std::vector<Model::Instance> instances;
     instances.reserve(members.size());
@@ -113,11 +114,11 @@
 }
 
 /// Collects the records that are newer than the asker's.
-class NewsWriter
+class PeerUpdateBuilder
 {
 public:
-    NewsWriter(const std::vector<MemberPulse> &known, const Model::Instance &asker,
-               Model::SteadyTime now)
+    PeerUpdateBuilder(const std::vector<MemberPulse> &known, const Model::Instance &asker,
+                      Model::SteadyTime now)
         : asker_(asker)
         , now_(now)
     {
@@ -126,58 +127,58 @@
     }
 
     /// Adds the record of \a member, if it is newer: the full record, if the asker does not know
-    /// this incarnation and \a wholeLeft is above zero, else the heartbeat record.
-    void tell(const Member &member, std::size_t &wholeLeft)
+    /// this incarnation and \a fullRecordsLeft is above zero, else the heartbeat record.
+    void add(const Member &member, std::size_t &fullRecordsLeft)
     {
         if (member.instance_.id_ == asker_.id_)
             return;
         const auto found = known_.find(member.instance_.id_);
-        const bool isKnownRun
+        const bool isKnownIncarnation
             = found != known_.end() && found->second->incarnation_ == member.pulse_.incarnation_;
-        if (isKnownRun && found->second->heartbeat_ >= member.pulse_.heartbeat_)
+        if (isKnownIncarnation && found->second->heartbeat_ >= member.pulse_.heartbeat_)
             return;
-        if (!isKnownRun && wholeLeft > 0) {
-            --wholeLeft;
-            Member told = member;
-            told.pulse_ = pulseAt(member, now_);
-            news_.whole_.push_back(std::move(told));
+        if (!isKnownIncarnation && fullRecordsLeft > 0) {
+            --fullRecordsLeft;
+            Member sent = member;
+            sent.pulse_ = pulseAt(member, now_);
+            update_.whole_.push_back(std::move(sent));
         } else {
-            news_.pulses_.push_back(pulseAt(member, now_));
+            update_.pulses_.push_back(pulseAt(member, now_));
         }
     }
 
-    PeerNews take() { return std::move(news_); }
+    PeerNews take() { return std::move(update_); }
 
 private:
     const Model::Instance &asker_;
     Model::SteadyTime now_;
     std::unordered_map<Model::InstanceId, const MemberPulse *> known_;
-    PeerNews news_;
+    PeerNews update_;
 };
 
 } // namespace
 
 void forgetStrangers(Members &members, Model::SteadyTime now)
 {
-    std::map<Model::RegionId, Chosen> farByRegion;
+    std::map<Model::RegionId, MemberList> remoteByRegion;
     for (const auto &[id, member] : members) {
         if (member.isFar_)
-            farByRegion[member.instance_.region_].push_back(&member);
+            remoteByRegion[member.instance_.region_].push_back(&member);
     }
     const std::size_t wanted = contactsOfEach(members);
-    std::vector<Model::InstanceId> strangers;
-    for (auto &[region, far] : farByRegion) {
-        if (far.size() <= wanted)
+    std::vector<Model::InstanceId> nonContacts;
+    for (auto &[region, remote] : remoteByRegion) {
+        if (remote.size() <= wanted)
             continue;
-        std::sort(far.begin(), far.end(), ranksBefore);
+        std::sort(remote.begin(), remote.end(), ranksBefore);
         std::size_t alive = 0;
-        for (const Member *member : far) {
+        for (const Member *member : remote) {
             if (alive == wanted)
-                strangers.push_back(member->instance_.id_);
+                nonContacts.push_back(member->instance_.id_);
             alive += alive < wanted && isAlive(*member, now) ? 1 : 0;
         }
     }
-    for (const auto &id : strangers)
+    for (const auto &id : nonContacts)
         members.erase(id);
 }
 
@@ -185,35 +186,36 @@
                                           Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
-    const auto inOwnDomain = [&](const Member *member) {
+    const auto inLocalDomain = [&](const Member *member) {
         return member->instance_.domain_ == own.domain_;
     };
-    Chosen near = aliveIn(members, own, own.region_, now);
-    const auto beyond = std::partition(near.begin(), near.end(), inOwnDomain);
-    const Chosen sameDomain(near.begin(), beyond);
-    const Chosen otherDomains(beyond, near.end());
-    const Chosen far = aliveElsewhere(members, own, now);
-    const Chosen lost = lostMembers(members, own, far, now);
-    Chosen lostNear;
-    std::copy_if(lost.begin(), lost.end(), std::back_inserter(lostNear), [](const Member *member) {
-        return !member->isFar_;
-    });
+    MemberList local = aliveIn(members, own, own.region_, now);
+    const auto beyond = std::partition(local.begin(), local.end(), inLocalDomain);
+    const MemberList sameDomain(local.begin(), beyond);
+    const MemberList otherDomains(beyond, local.end());
+    const MemberList remote = aliveInOtherRegions(members, own, now);
+    const MemberList failed = unreachableMembers(members, own, remote, now);
+    MemberList failedLocal;
+    std::copy_if(failed.begin(), failed.end(), std::back_inserter(failedLocal),
+                 [](const Member *member) {
+                     return !member->isFar_;
+                 });
     std::uniform_real_distribution<double> chance(0, 1);
-    const std::size_t crossing = chance(generator) < crossingChance ? 1 : 0;
-    Chosen chosen = sampled(sameDomain, nearPeersInRound - crossing, generator);
+    const std::size_t crossing = chance(generator) < crossDomainProbability ? 1 : 0;
+    MemberList chosen = sampled(sameDomain, nearPeersInRound - crossing, generator);
     // An instance that is alone in its region, or has just started, contacts any known peers, local
     // ones first.
-    for (const Chosen *others :
-         std::initializer_list<const Chosen *>{&otherDomains, &lostNear, &far, &lost}) {
+    for (const MemberList *others :
+         std::initializer_list<const MemberList *>{&otherDomains, &failedLocal, &remote, &failed}) {
         if (chosen.size() < nearPeersInRound)
             append(chosen, sampled(*others, nearPeersInRound - chosen.size(), generator));
     }
-    const double farChance
-        = std::max(farPartOfRegion, farPeersOfRegionInRound / static_cast<double>(near.size() + 1));
-    if (chance(generator) < farChance)
-        append(chosen, sampled(far, 1, generator));
-    if (random % roundsBetweenLost == 0)
-        append(chosen, sampled(lost, 1, generator));
+    const double remoteProbability = std::max(
+        remotePeerFraction, remotePeersOfRegionInRound / static_cast<double>(local.size() + 1));
+    if (chance(generator) < remoteProbability)
+        append(chosen, sampled(remote, 1, generator));
+    if (random % roundsBetweenFailedPeers == 0)
+        append(chosen, sampled(failed, 1, generator));
     return instancesOf(chosen);
 }
 
@@ -221,22 +223,22 @@
                                                Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
-    std::map<Model::FailureDomainId, Chosen> byDomain;
+    std::map<Model::FailureDomainId, MemberList> byDomain;
     for (const Member *member : aliveIn(members, own, own.region_, now)) {
         if (member->pulse_.store_ == StoreContact::NotAsked)
             byDomain[member->instance_.domain_].push_back(member);
     }
-    Chosen sameDomain;
-    const auto ownPlace = byDomain.find(own.domain_);
-    if (ownPlace != byDomain.end()) {
-        sameDomain = std::move(ownPlace->second);
-        byDomain.erase(ownPlace);
+    MemberList sameDomain;
+    const auto localDomain = byDomain.find(own.domain_);
+    if (localDomain != byDomain.end()) {
+        sameDomain = std::move(localDomain->second);
+        byDomain.erase(localDomain);
     }
     const auto self = members.find(own.id_);
     const bool isReader
         = self != members.end() && self->second.pulse_.store_ != StoreContact::NotAsked;
-    Chosen chosen;
-    Chosen beyond;
+    MemberList chosen;
+    MemberList beyond;
     for (const auto &[domain, others] : byDomain) {
         if (isReader)
             append(chosen, sampled(others, 1, generator));
@@ -253,15 +255,16 @@
                           const std::function<bool(const Member &)> &knowsMore,
                           Model::SteadyTime now, std::uint64_t random)
 {
-    Chosen sameDomain;
-    Chosen near;
-    Chosen far;
+    MemberList sameDomain;
+    MemberList local;
+    MemberList remote;
     for (const Member *member : aliveWhere(members, own, now, knowsMore)) {
         const bool isInDomain = member->instance_.domain_ == own.domain_;
-        Chosen &place = isInDomain ? sameDomain : (member->isFar_ ? far : near);
-        place.push_back(member);
+        MemberList &destination = isInDomain ? sameDomain : (member->isFar_ ? remote : local);
+        destination.push_back(member);
     }
-    for (const Chosen *from : std::initializer_list<const Chosen *>{&sameDomain, &near, &far}) {
+    for (const MemberList *from :
+         std::initializer_list<const MemberList *>{&sameDomain, &local, &remote}) {
         if (!from->empty())
             return (*from)[random % from->size()];
     }
@@ -273,23 +276,23 @@
                                          std::uint64_t random)
 {
     Random generator = randomFrom(random);
-    Chosen told = aliveIn(members, own, own.region_, now);
-    const bool isNear = peerRegion == own.region_;
-    if (isNear) {
-        told = sampled(told, mostNearTold, generator);
+    MemberList sent = aliveIn(members, own, own.region_, now);
+    const bool isLocal = peerRegion == own.region_;
+    if (isLocal) {
+        sent = sampled(sent, maxLocalRecords, generator);
     } else {
         const std::size_t contacts = contactsOfEach(members);
-        told = contactsAmong(std::move(told), contacts);
-        append(told, contactsAmong(aliveIn(members, own, peerRegion, now), contacts));
+        sent = contactsAmong(std::move(sent), contacts);
+        append(sent, contactsAmong(aliveIn(members, own, peerRegion, now), contacts));
     }
-    const Chosen others = aliveWhere(members, own, now, [&](const Member &member) {
+    const MemberList others = aliveWhere(members, own, now, [&](const Member &member) {
         const auto &region = member.instance_.region_;
         return region != own.region_ && region != peerRegion;
     });
-    append(told, others);
+    append(sent, others);
     std::vector<MemberPulse> pulses;
-    pulses.reserve(told.size());
-    for (const Member *member : told)
+    pulses.reserve(sent.size());
+    for (const Member *member : sent)
         pulses.push_back(pulseAt(*member, now));
     return pulses;
 }
@@ -298,29 +301,29 @@
                  const std::vector<MemberPulse> &known, Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
-    NewsWriter writer(known, asker, now);
-    Chosen near = aliveIn(members, own, own.region_, now);
-    std::size_t wholeLeft = mostWholeTold;
-    const bool isNear = asker.region_ == own.region_;
+    PeerUpdateBuilder builder(known, asker, now);
+    MemberList local = aliveIn(members, own, own.region_, now);
+    std::size_t fullRecordsLeft = maxFullRecords;
+    const bool isLocal = asker.region_ == own.region_;
     const std::size_t contacts = contactsOfEach(members);
-    near = isNear ? sampled(near, mostNearTold, generator)
-                  : contactsAmong(std::move(near), contacts);
-    for (const Member *member : near)
-        writer.tell(*member, wholeLeft);
+    local = isLocal ? sampled(local, maxLocalRecords, generator)
+                    : contactsAmong(std::move(local), contacts);
+    for (const Member *member : local)
+        builder.add(*member, fullRecordsLeft);
     // A remote asker may not have found any instance of its own region yet.
-    if (!isNear) {
+    if (!isLocal) {
         for (const Member *member :
              contactsAmong(aliveIn(members, own, asker.region_, now), contacts))
-            writer.tell(*member, wholeLeft);
+            builder.add(*member, fullRecordsLeft);
     }
-    const Chosen others = aliveWhere(members, own, now, [&](const Member &member) {
+    const MemberList others = aliveWhere(members, own, now, [&](const Member &member) {
         const auto &region = member.instance_.region_;
         return region != own.region_ && region != asker.region_;
     });
-    wholeLeft = farWholeTold;
+    fullRecordsLeft = maxRemoteFullRecords;
     for (const Member *member : others)
-        writer.tell(*member, wholeLeft);
-    return writer.take();
+        builder.add(*member, fullRecordsLeft);
+    return builder.take();
 }
 
 } // namespace Policy
--- a/Libraries/LibPolicy/PeerNews.h
+++ b/Libraries/LibPolicy/PeerNews.h
@@ -12,7 +12,7 @@
 
 /// The probability that one of them lies in another failure domain; the others lie in the local
 /// one, where traffic is free. All instances of a domain together receive the others' updates.
-constexpr double crossingChance = 0.5;
+constexpr double crossDomainProbability = 0.5;
 
 /// The minimum number of remote peers that all instances of a region together contact in a round,
 /// and the fraction of a larger region's instances that contact one. With fewer, a region of a
@@ -21,26 +21,26 @@
 ///
 /// With peers drawn from the whole fleet, most exchanges cross between regions, and gossip
 /// outweighs the answers to callers there.
-constexpr double farPeersOfRegionInRound = 2;
-constexpr double farPartOfRegion = 0.12;
+constexpr double remotePeersOfRegionInRound = 2;
+constexpr double remotePeerFraction = 0.12;
 
 /// The instances of a region that other regions know, its contacts, are the same for all observers.
-/// With many regions, each has fewer contacts, so that an instance keeps at most mostContacts.
+/// With many regions, each has fewer contacts, so that an instance keeps at most maxRemoteContacts.
 constexpr std::size_t contactsOfRegion = 16;
-constexpr std::size_t fewestContactsOfRegion = 3;
-constexpr std::size_t mostContacts = 42;
+constexpr std::size_t minContactsOfRegion = 3;
+constexpr std::size_t maxRemoteContacts = 42;
 
 /// The maximum number of local members named in one message. With fewer than a region has, some of
 /// its instances stay unknown to others for a long time.
-constexpr std::size_t mostNearTold = 128;
+constexpr std::size_t maxLocalRecords = 128;
 /// The maximum number of full member records in one answer.
-constexpr std::size_t mostWholeTold = 32;
+constexpr std::size_t maxFullRecords = 32;
 /// The maximum number of full records of remote contacts in one answer inside a region.
-constexpr std::size_t farWholeTold = 4;
+constexpr std::size_t maxRemoteFullRecords = 4;
 
 /// One round out of this many also contacts an instance that is considered failed, unless other
 /// instances of its region are known to be alive: of other regions only some are known.
-constexpr std::uint64_t roundsBetweenLost = 4;
+constexpr std::uint64_t roundsBetweenFailedPeers = 4;
 
 /// An update from one instance to another: full records of the members that the receiver does not
 /// know, heartbeat records of the rest.
--- a/Libraries/LibPolicy/RegistrationLapse.cpp
+++ b/Libraries/LibPolicy/RegistrationLapse.cpp
@@ -10,14 +10,14 @@
 /// Returns whether \a standing is of an instance that has read the removal from the store itself.
 /// An instance that received it from a peer may have a hanging call, and not have detected an
 /// outage of the store yet.
-bool isWitness(const StoreStanding &standing, const RemovedRegistration &removed)
+bool hasReadRemoval(const StoreStanding &standing, const RemovedRegistration &removed)
 {
     return standing.contact_ == StoreContact::Reached && standing.targetsRead_ >= removed.revision_;
 }
 
 /// Returns when the store recovered, by the instance's own calls alone. An instance that has just
 /// started has not seen it fail.
-Model::SteadyTime returnSeenBy(const StoreStanding &own, const RemovedRegistration &removed)
+Model::SteadyTime recoverySeenBy(const StoreStanding &own, const RemovedRegistration &removed)
 {
     return own.contact_ == StoreContact::Refused ? removed.noticedAt_ : own.returnedAt_;
 }
@@ -43,16 +43,17 @@
 
 Model::SteadyTime usableUntil(const RemovedRegistration &removed, const StoreEvidence &evidence)
 {
-    std::optional<Model::SteadyTime> witnessed;
-    if (isWitness(evidence.own_, removed))
-        witnessed = evidence.own_.returnedAt_;
+    std::optional<Model::SteadyTime> observedRecovery;
+    if (hasReadRemoval(evidence.own_, removed))
+        observedRecovery = evidence.own_.returnedAt_;
     for (const auto &other : evidence.others_) {
-        if (isWitness(other, removed))
-            witnessed = std::min(witnessed.value_or(other.answeredSince_), other.answeredSince_);
+        if (hasReadRemoval(other, removed))
+            observedRecovery
+                = std::min(observedRecovery.value_or(other.answeredSince_), other.answeredSince_);
     }
-    const auto returnedAt = witnessed.value_or(returnSeenBy(evidence.own_, removed));
+    const auto recoveredAt = observedRecovery.value_or(recoverySeenBy(evidence.own_, removed));
     // A removal cannot be read during an outage: the store had recovered when it was noticed.
-    const auto until = std::min(returnedAt, removed.noticedAt_) + lapseGrace;
+    const auto until = std::min(recoveredAt, removed.noticedAt_) + lapseGrace;
     const auto untilUnseen = removed.noticedAt_ + unseenLapseGrace;
     return removed.isOneOfMany_ ? std::max(until, untilUnseen) : until;
 }
--- a/Libraries/LibPolicy/RequestPrint.cpp
+++ b/Libraries/LibPolicy/RequestPrint.cpp
@@ -40,51 +40,52 @@
     return lowerHalf(mixed(mixed(mixed(0, text.method_), text.host_), text.target_));
 }
 
-RequestPrint printOf(const RequestText &text, std::uint32_t head)
+RequestPrint printOf(const RequestText &text, std::uint32_t prefix)
 {
-    RequestPrint print;
-    print.request_ = std::uint64_t(head) << 32U | lowerHalf(mixed(head, text.body_));
+    RequestPrint fingerprint;
+    fingerprint.request_ = std::uint64_t(prefix) << 32U | lowerHalf(mixed(prefix, text.body_));
     // Zero matches any caller.
-    print.caller_ = std::max<std::uint32_t>(1, lowerHalf(mixed(0, text.caller_)));
-    return print;
+    fingerprint.caller_ = std::max<std::uint32_t>(1, lowerHalf(mixed(0, text.caller_)));
+    return fingerprint;
 }
 
-std::string toText(const RequestPrint &print)
+std::string toText(const RequestPrint &fingerprint)
 {
     char text[requestDigits + callerDigits + 2];
     std::snprintf(text, sizeof text, "%016llx-%08x",
-                  static_cast<unsigned long long>(print.request_),
-                  static_cast<unsigned>(print.caller_));
+                  static_cast<unsigned long long>(fingerprint.request_),
+                  static_cast<unsigned>(fingerprint.caller_));
     return text;
 }
 
 std::optional<RequestPrint> printFromText(std::string_view text)
 {
-    RequestPrint print;
-    const bool isPrint = text.size() == requestDigits + 1 + callerDigits
-                         && text[requestDigits] == '-'
-                         && readHex(text.substr(0, requestDigits), print.request_)
-                         && readHex(text.substr(requestDigits + 1), print.caller_);
-    if (!isPrint)
+    RequestPrint fingerprint;
+    const bool isFingerprint = text.size() == requestDigits + 1 + callerDigits
+                               && text[requestDigits] == '-'
+                               && readHex(text.substr(0, requestDigits), fingerprint.request_)
+                               && readHex(text.substr(requestDigits + 1), fingerprint.caller_);
+    if (!isFingerprint)
         return Model::fail(Model::ResultCode::BadValue, "'" + std::string(text) + "'");
-    return print;
+    return fingerprint;
 }
 
-void remember(RequestNames &names, const RequestPrint &print, std::string name)
+void remember(RequestNames &names, const RequestPrint &fingerprint, std::string name)
 {
-    if (names.names_.size() >= mostNames)
+    if (names.names_.size() >= maxNames)
         names.names_.clear();
-    name.resize(std::min(name.size(), longestName));
-    names.names_[print] = std::move(name);
+    name.resize(std::min(name.size(), maxNameLength));
+    names.names_[fingerprint] = std::move(name);
 }
 
-std::string nameOf(const RequestNames &names, const RequestPrint &print)
+std::string nameOf(const RequestNames &names, const RequestPrint &fingerprint)
 {
-    const auto exact = names.names_.find(print);
+    const auto exact = names.names_.find(fingerprint);
     if (exact != names.names_.end())
         return exact->second;
-    const auto found = names.names_.lower_bound({print.request_, 0});
-    const bool isKnown = found != names.names_.end() && found->first.request_ == print.request_;
+    const auto found = names.names_.lower_bound({fingerprint.request_, 0});
+    const bool isKnown
+        = found != names.names_.end() && found->first.request_ == fingerprint.request_;
     return isKnown ? found->second : "";
 }
 
--- a/Libraries/LibPolicy/RequestPrint.h
+++ b/Libraries/LibPolicy/RequestPrint.h
@@ -34,13 +34,13 @@
 
 /// Returns the fingerprint prefix, which does not depend on the body. Thread safety: any thread.
 std::uint32_t headOf(const RequestText &text);
-constexpr std::uint32_t headOf(const RequestPrint &print)
+constexpr std::uint32_t headOf(const RequestPrint &fingerprint)
 {
-    return static_cast<std::uint32_t>(print.request_ >> 32U);
+    return static_cast<std::uint32_t>(fingerprint.request_ >> 32U);
 }
 
-/// Returns the fingerprint of a request; \a head is headOf() of it. Thread safety: any thread.
-RequestPrint printOf(const RequestText &text, std::uint32_t head);
+/// Returns the fingerprint of a request; \a prefix is headOf() of it. Thread safety: any thread.
+RequestPrint printOf(const RequestText &text, std::uint32_t prefix);
 inline RequestPrint printOf(const RequestText &text)
 {
     return printOf(text, headOf(text));
@@ -48,7 +48,7 @@
 
 /// Returns "0123456789abcdef-01234567"; printFromText() parses it and returns std::nullopt, with
 /// BadValue as the last reason, for any other text. Thread safety: any thread.
-std::string toText(const RequestPrint &print);
+std::string toText(const RequestPrint &fingerprint);
 std::optional<RequestPrint> printFromText(std::string_view text);
 
 /// Readable names of fingerprinted requests, as their callers sent them, so that operators
@@ -59,14 +59,15 @@
 };
 
 /// The maximum number of names, beyond which all are dropped, and their maximum length.
-constexpr std::size_t mostNames = 256;
-constexpr std::size_t longestName = 120;
+constexpr std::size_t maxNames = 256;
+constexpr std::size_t maxNameLength = 120;
 
-/// Stores \a name, truncated to longestName. Thread safety: \a names belongs to the calling thread.
-void remember(RequestNames &names, const RequestPrint &print, std::string name);
+/// Stores \a name, truncated to maxNameLength. Thread safety: \a names belongs to the calling
+/// thread.
+void remember(RequestNames &names, const RequestPrint &fingerprint, std::string name);
 
-/// Returns the name of a request with \a print, or of one that differs only in its caller; empty if
-/// there is none. Thread safety: any thread.
-std::string nameOf(const RequestNames &names, const RequestPrint &print);
+/// Returns the name of a request with \a fingerprint, or of one that differs only in its caller;
+/// empty if there is none. Thread safety: any thread.
+std::string nameOf(const RequestNames &names, const RequestPrint &fingerprint);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Shares.cpp
+++ b/Libraries/LibPolicy/Shares.cpp
@@ -71,22 +71,22 @@
 }
 
 /// Returns the planned shares at \a now, applying each scheduled change in turn.
-PlanPoint walkedPoint(const Model::Table &table, const Model::Service &service,
-                      const Model::RegionId &origin, WallTime now)
+PlanPoint planAt(const Model::Table &table, const Model::Service &service,
+                 const Model::RegionId &origin, WallTime now)
 {
     const ShiftCaps caps = capsOf(service);
     PlanPoint point = firstPoint(table, service.id_, origin, now);
-    const auto walkTo = [&](WallTime until) {
+    const auto advanceTo = [&](WallTime until) {
         const ShareVector goal = goalShares(table, service.id_, origin, point.at_, {});
         point.shares_ = movedShares(table, point.shares_, goal, caps, until - point.at_);
         point.at_ = until;
     };
     for (WallTime time : scheduledTimes(table)) {
         if (time > point.at_ && time < now)
-            walkTo(time);
+            advanceTo(time);
     }
     if (point.at_ < now)
-        walkTo(now);
+        advanceTo(now);
     return point;
 }
 
@@ -168,7 +168,7 @@
     const auto *row = table.service(service);
     if (!row)
         return {std::vector<double>(table.domains().size(), 0.0)};
-    return walkedPoint(table, *row, origin, now).shares_;
+    return planAt(table, *row, origin, now).shares_;
 }
 
 Milliseconds timeToGoal(const Model::Table &table, const Model::ServiceId &service,
@@ -177,7 +177,7 @@
     const auto *row = table.service(service);
     if (!row)
         return Milliseconds(0);
-    const ShareVector shares = walkedPoint(table, *row, origin, now).shares_;
+    const ShareVector shares = planAt(table, *row, origin, now).shares_;
     const ShareVector goal = goalShares(table, service, origin, now, {});
     if (sum(goal) <= negligible)
         return Milliseconds(0);
--- a/Libraries/LibPolicy/StoreReaders.cpp
+++ b/Libraries/LibPolicy/StoreReaders.cpp
@@ -15,11 +15,11 @@
     const Member *member_ = nullptr;
 };
 
-bool mayRead(const Member &member, const Model::Instance &own, Model::SteadyTime now)
+bool isEligibleReader(const Member &member, const Model::Instance &own, Model::SteadyTime now)
 {
     const bool isOwn = member.instance_.id_ == own.id_;
-    const bool isThere = isOwn || (isAlive(member, now) && !member.pulse_.isLeaving_);
-    return isThere && member.instance_.region_ == own.region_
+    const bool isAvailable = isOwn || (isAlive(member, now) && !member.pulse_.isLeaving_);
+    return isAvailable && member.instance_.region_ == own.region_
            && member.pulse_.store_ != StoreContact::Refused;
 }
 
@@ -30,7 +30,7 @@
     std::map<Model::FailureDomainId, std::vector<Ranked>> byDomain;
     std::size_t count = 0;
     for (const auto &[id, member] : members) {
-        if (!mayRead(member, own, now))
+        if (!isEligibleReader(member, own, now))
             continue;
         byDomain[member.instance_.domain_].push_back({seedOf(id.value()), &member});
         ++count;
@@ -65,7 +65,7 @@
 
 ReaderRank readerRank(const Members &members, const Model::Instance &own, Model::SteadyTime now)
 {
-    const bool isSmall = fleetSize(members, now) <= smallFleet;
+    const bool isSmall = fleetSize(members, now) <= maxSmallFleetSize;
     const auto order = readersInOrder(members, own, now);
     // If the store refuses all instances, all of them keep trying.
     if (order.empty() || order.front()->instance_.id_ == own.id_)
--- a/Libraries/LibPolicy/StoreReaders.h
+++ b/Libraries/LibPolicy/StoreReaders.h
@@ -5,7 +5,7 @@
 namespace Policy {
 
 /// In a fleet of up to this many instances, each reads the store itself.
-constexpr std::size_t smallFleet = 16;
+constexpr std::size_t maxSmallFleetSize = 16;
 
 /// The number of store readers per region in a larger fleet.
 ///
--- a/Tests/LibPolicy/SimulatedFleet.cpp
+++ b/Tests/LibPolicy/SimulatedFleet.cpp
@@ -6,18 +6,18 @@
 
 namespace {
 
-void hear(Node &node, Policy::Member said, Model::SteadyTime now)
+void receive(Node &node, Policy::Member reported, Model::SteadyTime now)
 {
-    if (said.instance_.id_ == node.instance_.id_)
+    if (reported.instance_.id_ == node.instance_.id_)
         return;
-    said.isFar_ = said.instance_.region_ != node.instance_.region_;
-    Policy::hearOf(node.members_, said, now - said.pulse_.age_);
+    reported.isFar_ = reported.instance_.region_ != node.instance_.region_;
+    Policy::hearOf(node.members_, reported, now - reported.pulse_.age_);
 }
 
-void take(Node &node, const Policy::PeerNews &news, Model::SteadyTime now)
+void receiveUpdate(Node &node, const Policy::PeerNews &news, Model::SteadyTime now)
 {
     for (const auto &member : news.whole_)
-        hear(node, member, now);
+        receive(node, member, now);
     for (const auto &pulse : news.pulses_) {
         if (pulse.id_ != node.instance_.id_)
             Policy::hearPulse(node.members_, pulse, now);
@@ -37,7 +37,7 @@
                 node.instance_.domain_ = Model::FailureDomainId(domainName);
                 node.instance_.region_ = Model::RegionId(regionName);
                 node.instance_.id_ = Model::InstanceId(domainName + std::to_string(i));
-                places_[node.instance_.id_] = nodes_.size();
+                indexById_[node.instance_.id_] = nodes_.size();
                 nodes_.push_back(std::move(node));
             }
         }
@@ -48,7 +48,7 @@
             Policy::Member seed;
             seed.instance_ = nodes_[region * inRegion].instance_;
             seed.isHearsay_ = true;
-            hear(node, seed, now_);
+            receive(node, seed, now_);
         }
     }
 }
@@ -58,7 +58,7 @@
 {
 }
 
-void Fleet::beat(Node &node)
+void Fleet::incrementHeartbeat(Node &node)
 {
     Policy::Member &own = node.members_[node.instance_.id_];
     own.instance_ = node.instance_;
@@ -70,33 +70,34 @@
         Policy::entriesIn(node.members_, node.instance_.region_, now_));
 }
 
-void Fleet::ask(Node &asker, Node &asked)
+void Fleet::exchange(Node &asker, Node &asked)
 {
     const bool isLinked = !isLinked_ || isLinked_(asker.instance_, asked.instance_);
     if (!asked.isRunning_ || !isLinked)
         return;
     ++exchanges_;
-    const bool isNear = asker.instance_.region_ == asked.instance_.region_;
-    farExchanges_ += isNear ? 0 : 1;
-    acrossDomains_ += isNear && asker.instance_.domain_ != asked.instance_.domain_ ? 1 : 0;
+    const bool isLocal = asker.instance_.region_ == asked.instance_.region_;
+    remoteExchanges_ += isLocal ? 0 : 1;
+    crossDomainExchanges_ += isLocal && asker.instance_.domain_ != asked.instance_.domain_ ? 1 : 0;
     const auto known = Policy::pulsesToAskWith(asker.members_, asker.instance_,
                                                asked.instance_.region_, now_, random_());
-    hear(asked, asker.members_.at(asker.instance_.id_), now_);
-    take(asked, {{}, known}, now_);
-    tellCrashes(asker, asked);
+    receive(asked, asker.members_.at(asker.instance_.id_), now_);
+    receiveUpdate(asked, {{}, known}, now_);
+    sendCrashUpdate(asker, asked);
     const auto news
         = Policy::newsFor(asked.members_, asked.instance_, asker.instance_, known, now_, random_());
-    mostNamed_ = std::max({mostNamed_, known.size(), news.whole_.size() + news.pulses_.size()});
-    hear(asker, asked.members_.at(asked.instance_.id_), now_);
-    take(asker, news, now_);
-    tellCrashes(asked, asker);
+    maxMembersInMessage_
+        = std::max({maxMembersInMessage_, known.size(), news.whole_.size() + news.pulses_.size()});
+    receive(asker, asked.members_.at(asked.instance_.id_), now_);
+    receiveUpdate(asker, news, now_);
+    sendCrashUpdate(asked, asker);
 }
 
-void Fleet::tellCrashes(const Node &teller, Node &listener)
+void Fleet::sendCrashUpdate(const Node &sender, Node &receiver)
 {
-    const auto news = Policy::newsOf(teller.crashes_, now_);
-    crashesTold_ += news.runs_.size() + news.quarantines_.size();
-    Policy::takeIn(listener.crashes_, news, now_);
+    const auto news = Policy::newsOf(sender.crashes_, now_);
+    crashRecordsSent_ += news.runs_.size() + news.quarantines_.size();
+    Policy::takeIn(receiver.crashes_, news, now_);
 }
 
 void Fleet::playRounds(int rounds)
@@ -105,16 +106,16 @@
         for (auto &node : nodes_) {
             Policy::forgetStrangers(node.members_, now_);
             if (node.isRunning_)
-                beat(node);
+                incrementHeartbeat(node);
         }
         for (auto &node : nodes_) {
             if (!node.isRunning_)
                 continue;
             const auto peers = Policy::peersOfRound(node.members_, node.instance_, now_, random_());
             for (const auto &peer : peers) {
-                const auto asked = places_.find(peer.id_);
-                if (asked != places_.end())
-                    ask(node, nodes_[asked->second]);
+                const auto asked = indexById_.find(peer.id_);
+                if (asked != indexById_.end())
+                    exchange(node, nodes_[asked->second]);
             }
         }
         now_ += roundPeriod;
--- a/Tests/LibPolicy/SimulatedFleet.h
+++ b/Tests/LibPolicy/SimulatedFleet.h
@@ -48,18 +48,18 @@
     /// The number of exchanges, of those between regions, of those between failure domains of one
     /// region, and of members in the largest message.
     std::size_t exchanges_ = 0;
-    std::size_t farExchanges_ = 0;
-    std::size_t acrossDomains_ = 0;
-    std::size_t mostNamed_ = 0;
+    std::size_t remoteExchanges_ = 0;
+    std::size_t crossDomainExchanges_ = 0;
+    std::size_t maxMembersInMessage_ = 0;
     /// Crashed incarnations and quarantine decisions sent so far.
-    std::size_t crashesTold_ = 0;
+    std::size_t crashRecordsSent_ = 0;
 
 private:
-    void beat(Node &node);
-    void ask(Node &asker, Node &asked);
-    void tellCrashes(const Node &teller, Node &listener);
+    void incrementHeartbeat(Node &node);
+    void exchange(Node &asker, Node &asked);
+    void sendCrashUpdate(const Node &sender, Node &receiver);
 
-    std::map<Model::InstanceId, std::size_t> places_;
+    std::map<Model::InstanceId, std::size_t> indexById_;
     std::mt19937_64 random_{7};
 };
 
--- a/Tests/LibPolicy/TestLeaveSpans.cpp
+++ b/Tests/LibPolicy/TestLeaveSpans.cpp
@@ -10,45 +10,47 @@
 class TestLeaveSpans : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLeaveSpans);
-    CPPUNIT_TEST(leaveIsInForceInTimeOnEveryWay);
-    CPPUNIT_TEST(pageHasTheSpansOfTheCode);
+    CPPUNIT_TEST(leaveIsInForceInTimeOnEveryPath);
+    CPPUNIT_TEST(pageHasTheLimitsOfTheCode);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against consecutive time limits that are within the bound but exceed it in sum.
-    void leaveIsInForceInTimeOnEveryWay()
+    void leaveIsInForceInTimeOnEveryPath()
     {
         const auto assertWithin = [](Milliseconds bound, Milliseconds sum) {
             CPPUNIT_ASSERT_MESSAGE(std::to_string(sum.count()), sum <= bound);
         };
-        assertWithin(Policy::leaveBound, Policy::sumOf(Policy::wayByOwnCall()));
-        assertWithin(Policy::leaveBound, Policy::sumOf(Policy::wayByNewCall()));
-        assertWithin(Policy::leaveBound, Policy::sumOf(Policy::wayOfUnannouncedLeaves()));
-        assertWithin(Policy::leaveBoundInLargeFleet, Policy::sumOf(Policy::wayByPeers()));
-        assertWithin(Policy::leaveBound, Policy::sumOf(Policy::wayByProbes()));
+        assertWithin(Policy::leaveBound, Policy::totalLimit(Policy::leavePathByLocalCall()));
+        assertWithin(Policy::leaveBound, Policy::totalLimit(Policy::leavePathByNewCall()));
+        assertWithin(Policy::leaveBound,
+                     Policy::totalLimit(Policy::leavePathWithoutAnnouncement()));
+        assertWithin(Policy::leaveBoundInLargeFleet,
+                     Policy::totalLimit(Policy::leavePathByPeers()));
+        assertWithin(Policy::leaveBound, Policy::totalLimit(Policy::leavePathByProbes()));
     }
 
     // Guards against a page whose limits differ from those of the code.
-    void pageHasTheSpansOfTheCode()
+    void pageHasTheLimitsOfTheCode()
     {
         std::ifstream file(std::string(CASSIACRANK_SOURCE) + "/docs/design/leaving-targets.md");
         std::ostringstream page;
         page << file.rdbuf();
         const auto assertOnPage
-            = [&](const std::string &name, const std::vector<Policy::LeaveSpan> &way) {
+            = [&](const std::string &name, const std::vector<Policy::LeaveSpan> &path) {
                   std::string line = "| " + name + " | ";
-                  for (const auto &span : way) {
-                      line += (&span == way.data() ? "" : " + ") + std::string(span.name_) + " "
-                              + std::to_string(span.longest_.count());
+                  for (const auto &span : path) {
+                      line += (&span == path.data() ? "" : " + ") + std::string(span.name_) + " "
+                              + std::to_string(span.limit_.count());
                   }
-                  line += " | " + std::to_string(Policy::sumOf(way).count()) + " |";
+                  line += " | " + std::to_string(Policy::totalLimit(path).count()) + " |";
                   CPPUNIT_ASSERT_MESSAGE(line, page.str().find(line) != std::string::npos);
               };
-        assertOnPage("own call", Policy::wayByOwnCall());
-        assertOnPage("new call", Policy::wayByNewCall());
-        assertOnPage("unannounced leaves", Policy::wayOfUnannouncedLeaves());
-        assertOnPage("peers", Policy::wayByPeers());
-        assertOnPage("probes", Policy::wayByProbes());
+        assertOnPage("own call", Policy::leavePathByLocalCall());
+        assertOnPage("new call", Policy::leavePathByNewCall());
+        assertOnPage("unannounced leaves", Policy::leavePathWithoutAnnouncement());
+        assertOnPage("peers", Policy::leavePathByPeers());
+        assertOnPage("probes", Policy::leavePathByProbes());
     }
 };
 
--- a/Tests/LibPolicy/TestPeerNews.cpp
+++ b/Tests/LibPolicy/TestPeerNews.cpp
@@ -11,14 +11,14 @@
 
 /// Returns the age of the oldest heartbeat record that any running instance has of local members,
 /// or of remote ones.
-Milliseconds oldestWord(const Fleet &fleet, bool ofFarOnes)
+Milliseconds oldestHeartbeatAge(const Fleet &fleet, bool ofRemoteMembers)
 {
     Milliseconds oldest{0};
     for (const auto &node : fleet.nodes_) {
         if (!node.isRunning_)
             continue;
         for (const auto &[id, member] : node.members_) {
-            if (member.isFar_ == ofFarOnes && !member.isHearsay_)
+            if (member.isFar_ == ofRemoteMembers && !member.isHearsay_)
                 oldest = std::max(oldest, Policy::pulseAt(member, fleet.now_).age_);
         }
     }
@@ -34,7 +34,7 @@
     return count;
 }
 
-std::size_t takenForLost(const Fleet &fleet, const Node &node)
+std::size_t consideredFailed(const Fleet &fleet, const Node &node)
 {
     return static_cast<std::size_t>(
         std::count_if(node.members_.begin(), node.members_.end(), [&](const auto &entry) {
@@ -45,24 +45,24 @@
 class TestPeerNews : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestPeerNews);
-    CPPUNIT_TEST(everybodyKnowsItsRegionInAFewRounds);
-    CPPUNIT_TEST(livingInstancesAreNeverTakenForDead);
-    CPPUNIT_TEST(livingInstancesOfOtherRegionsAreNeverTakenForLost);
+    CPPUNIT_TEST(eachInstanceKnowsItsRegionInAFewRounds);
+    CPPUNIT_TEST(liveInstancesAreNeverConsideredFailed);
+    CPPUNIT_TEST(liveRemoteInstancesAreNeverConsideredFailed);
     CPPUNIT_TEST(exchangesStayInTheRegionAndMessagesStaySmall);
-    CPPUNIT_TEST(lastWordOfADeadInstanceDoesNotKeepItAlive);
-    CPPUNIT_TEST(halvesThatWereApartFindEachOther);
-    CPPUNIT_TEST(countsOfOtherRegionsAreTheirOwn);
-    CPPUNIT_TEST(newsCrossesBetweenDomainsOnce);
-    CPPUNIT_TEST(newsIsFetchedAsNearAsItIsKnown);
+    CPPUNIT_TEST(lastHeartbeatOfAFailedInstanceDoesNotKeepItAlive);
+    CPPUNIT_TEST(partitionedRegionsRejoin);
+    CPPUNIT_TEST(remoteRegionsReportTheirOwnCounts);
+    CPPUNIT_TEST(updatesCrossBetweenDomainsOnce);
+    CPPUNIT_TEST(updatesAreFetchedFromTheNearestPeer);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     static constexpr std::size_t sizes[] = {2, 10, 50};
-    static constexpr std::size_t fewest = 4;
+    static constexpr std::size_t minKnownMembers = 4;
     /// Three regions of 66 instances, and fifteen of 20.
     static constexpr Simulated::FleetShape largeShapes[] = {{3, 3, 22}, {15, 4, 5}};
 
-    void everybodyKnowsItsRegionInAFewRounds()
+    void eachInstanceKnowsItsRegionInAFewRounds()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
@@ -76,19 +76,21 @@
 
     // Guards against live instances disappearing from look-ups for moments in a calm fleet, because
     // updates take longer than the time after which a silent instance is considered failed.
-    void livingInstancesAreNeverTakenForDead()
+    void liveInstancesAreNeverConsideredFailed()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
             fleet.playRounds(40);
             for (int i = 0; i < 100; ++i) {
                 fleet.playRounds(1);
-                const auto near = oldestWord(fleet, false);
-                CPPUNIT_ASSERT_MESSAGE(std::to_string(near.count()), near <= Policy::aliveFor);
+                const auto oldestLocal = oldestHeartbeatAge(fleet, false);
+                CPPUNIT_ASSERT_MESSAGE(std::to_string(oldestLocal.count()),
+                                       oldestLocal <= Policy::aliveFor);
                 for (const auto &node : fleet.nodes_) {
                     // Of a remote region, knowing some members suffices.
                     for (const char *region : {"r", "s", "t"})
-                        CPPUNIT_ASSERT(aliveOf(fleet, node, region) >= std::min(perDomain, fewest));
+                        CPPUNIT_ASSERT(aliveOf(fleet, node, region)
+                                       >= std::min(perDomain, minKnownMembers));
                 }
             }
         }
@@ -99,7 +101,7 @@
     // peer names, and of most of them never again. It happens if all of these are kept, although
     // only a region's contacts are updated regularly, or if samples of the contacts' records omit
     // some for longer than they count as alive.
-    void livingInstancesOfOtherRegionsAreNeverTakenForLost()
+    void liveRemoteInstancesAreNeverConsideredFailed()
     {
         for (const Simulated::FleetShape &shape : largeShapes) {
             Fleet fleet(shape);
@@ -107,7 +109,7 @@
             for (int i = 0; i < 250; ++i) {
                 fleet.playRounds(1);
                 for (const auto &node : fleet.nodes_)
-                    CPPUNIT_ASSERT_EQUAL(std::size_t(0), takenForLost(fleet, node));
+                    CPPUNIT_ASSERT_EQUAL(std::size_t(0), consideredFailed(fleet, node));
             }
         }
     }
@@ -120,26 +122,28 @@
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
             fleet.playRounds(10);
-            fleet.exchanges_ = fleet.farExchanges_ = 0;
-            fleet.mostNamed_ = 0;
+            fleet.exchanges_ = fleet.remoteExchanges_ = 0;
+            fleet.maxMembersInMessage_ = 0;
             constexpr int rounds = 100;
             fleet.playRounds(rounds);
-            const double farInRound = static_cast<double>(fleet.farExchanges_) / rounds;
-            // Each of the three regions makes two on average, or farPartOfRegion of its instances
-            // do.
-            const double inRegion = std::max(Policy::farPeersOfRegionInRound,
-                                             Policy::farPartOfRegion * 2.0 * double(perDomain));
-            CPPUNIT_ASSERT_MESSAGE(std::to_string(farInRound), farInRound < 3 * inRegion * 1.2);
+            const double remoteInRound = static_cast<double>(fleet.remoteExchanges_) / rounds;
+            // Each of the three regions makes two on average, or remotePeerFraction of its
+            // instances do.
+            const double inRegion = std::max(Policy::remotePeersOfRegionInRound,
+                                             Policy::remotePeerFraction * 2.0 * double(perDomain));
+            CPPUNIT_ASSERT_MESSAGE(std::to_string(remoteInRound),
+                                   remoteInRound < 3 * inRegion * 1.2);
             const std::size_t named
-                = Policy::mostNearTold + Policy::contactsOfRegion + Policy::mostContacts;
-            CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.mostNamed_), fleet.mostNamed_ <= named);
+                = Policy::maxLocalRecords + Policy::contactsOfRegion + Policy::maxRemoteContacts;
+            CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.maxMembersInMessage_),
+                                   fleet.maxMembersInMessage_ <= named);
         }
     }
 
     // Guards against sending callers to an instance that lost power six seconds ago. Its last
     // heartbeat still spreads, and each instance that first receives it considers it current if the
     // heartbeat's age is counted from its arrival instead of from its increment.
-    void lastWordOfADeadInstanceDoesNotKeepItAlive()
+    void lastHeartbeatOfAFailedInstanceDoesNotKeepItAlive()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
@@ -157,13 +161,13 @@
         }
     }
 
-    static void assertDead(const Fleet &fleet, const Model::Instance &dead, bool alsoFar)
+    static void assertDead(const Fleet &fleet, const Model::Instance &dead, bool alsoRemote)
     {
         for (const auto &node : fleet.nodes_) {
             const auto found = node.members_.find(dead.id_);
             if (!node.isRunning_ || found == node.members_.end())
                 continue;
-            if (!found->second.isFar_ || alsoFar)
+            if (!found->second.isFar_ || alsoRemote)
                 CPPUNIT_ASSERT(!Policy::isAlive(found->second, fleet.now_));
         }
     }
@@ -171,7 +175,7 @@
     // Guards against two regions that never rejoin after an hour's partition. A region is
     // partitioned for a minute, and each side considers the other one failed; if failed members'
     // addresses are dropped, no instance contacts them again.
-    void halvesThatWereApartFindEachOther()
+    void partitionedRegionsRejoin()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
@@ -203,7 +207,7 @@
     // fleet of three hundred. Each registration is announced to peers of the whole region, each of
     // which fetches the rows from the announcer, so two fetches of three cross between domains
     // instead of one per domain.
-    void newsCrossesBetweenDomainsOnce()
+    void updatesCrossBetweenDomainsOnce()
     {
         Fleet fleet(Simulated::FleetShape{3, 3, 22});
         fleet.playRounds(10);
@@ -230,7 +234,7 @@
         CPPUNIT_ASSERT_EQUAL(Policy::peersToldAtOnce, beyond.size());
     }
 
-    void newsIsFetchedAsNearAsItIsKnown()
+    void updatesAreFetchedFromTheNearestPeer()
     {
         Fleet fleet(Simulated::FleetShape{3, 3, 22});
         fleet.playRounds(10);
@@ -248,13 +252,14 @@
                 CPPUNIT_ASSERT_EQUAL(informed.back(), chosen->instance_.domain_.value());
             }
         }
-        const auto nobody = [](const Policy::Member &) {
+        const auto noMember = [](const Policy::Member &) {
             return false;
         };
-        CPPUNIT_ASSERT(!Policy::nearestThat(node.members_, node.instance_, nobody, fleet.now_, 1));
+        CPPUNIT_ASSERT(
+            !Policy::nearestThat(node.members_, node.instance_, noMember, fleet.now_, 1));
     }
 
-    void countsOfOtherRegionsAreTheirOwn()
+    void remoteRegionsReportTheirOwnCounts()
     {
         Fleet fleet(50);
         fleet.playRounds(30);
@@ -271,11 +276,11 @@
 class TestStoreReaders : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestStoreReaders);
-    CPPUNIT_TEST(smallFleetsReadForThemselves);
+    CPPUNIT_TEST(eachInstanceOfASmallFleetReads);
     CPPUNIT_TEST(eachRegionHasAFewReadersInAllItsDomains);
-    CPPUNIT_TEST(whoIsTurnedAwayIsReplaced);
-    CPPUNIT_TEST(whoDiesIsReplaced);
-    CPPUNIT_TEST(whereAllAreTurnedAwayAllGoOn);
+    CPPUNIT_TEST(refusedReaderIsReplaced);
+    CPPUNIT_TEST(failedReaderIsReplaced);
+    CPPUNIT_TEST(allReadIfTheStoreRefusesAll);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -299,7 +304,7 @@
         }
     }
 
-    void smallFleetsReadForThemselves()
+    void eachInstanceOfASmallFleetReads()
     {
         Fleet fleet(2);
         fleet.playRounds(5);
@@ -338,7 +343,7 @@
     // Guards against a region that keeps an old configuration while all others have the new one.
     // The store refuses all readers of the region but would serve its other instances; it happens
     // if refused instances remain readers.
-    void whoIsTurnedAwayIsReplaced()
+    void refusedReaderIsReplaced()
     {
         Fleet fleet(10);
         fleet.playRounds(10);
@@ -352,7 +357,7 @@
             CPPUNIT_ASSERT(std::find(before.begin(), before.end(), node) == before.end());
     }
 
-    void whoDiesIsReplaced()
+    void failedReaderIsReplaced()
     {
         Fleet fleet(10);
         fleet.playRounds(10);
@@ -362,7 +367,7 @@
         CPPUNIT_ASSERT_EQUAL(Policy::readersInRegion, readers(fleet, "r").size());
     }
 
-    void whereAllAreTurnedAwayAllGoOn()
+    void allReadIfTheStoreRefusesAll()
     {
         Fleet fleet(10);
         fleet.playRounds(10);
--- a/Tests/LibPolicy/TestRegistrationLapse.cpp
+++ b/Tests/LibPolicy/TestRegistrationLapse.cpp
@@ -17,22 +17,22 @@
 class TestRegistrationLapse : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestRegistrationLapse);
-    CPPUNIT_TEST(refusedInstanceBelievesWhoeverTheStoreServed);
-    CPPUNIT_TEST(graceEndsTwoSecondsAfterTheReturn);
-    CPPUNIT_TEST(earliestReturnCounts);
-    CPPUNIT_TEST(hearsayOfARemovalIsNoWitness);
-    CPPUNIT_TEST(instanceThatIsNotAskingTakesARemovalForALeave);
-    CPPUNIT_TEST(freshInstanceTakesARemovalForALeaveAndIsNoWitnessForOthers);
-    CPPUNIT_TEST(manyAtOnceAreKeptForAWhileWhateverWitnessesSay);
-    CPPUNIT_TEST(graceIsNeverLongerThanALapseLasts);
-    CPPUNIT_TEST(silentPeersAreNoWitnesses);
+    CPPUNIT_TEST(refusedInstanceFollowsAnInstanceThatTheStoreServed);
+    CPPUNIT_TEST(graceEndsTwoSecondsAfterRecovery);
+    CPPUNIT_TEST(earliestRecoveryCounts);
+    CPPUNIT_TEST(removalReceivedFromAPeerIsNoEvidence);
+    CPPUNIT_TEST(nonReaderConsidersARemovalALeave);
+    CPPUNIT_TEST(freshInstanceConsidersARemovalALeaveAndIsNoEvidenceForOthers);
+    CPPUNIT_TEST(simultaneousRemovalsAreKeptForTheGracePeriod);
+    CPPUNIT_TEST(graceIsAtMostTheExpiryGrace);
+    CPPUNIT_TEST(silentPeersAreNoEvidence);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     /// An instance that the store has answered since \a returned.
-    static StoreStanding reached(SteadyTime returned, std::uint64_t targetsRead)
+    static StoreStanding reached(SteadyTime recovered, std::uint64_t targetsRead)
     {
-        return {StoreContact::Reached, returned, returned, targetsRead};
+        return {StoreContact::Reached, recovered, recovered, targetsRead};
     }
 
     static StoreStanding refused() { return {.contact_ = StoreContact::Refused}; }
@@ -43,7 +43,7 @@
     }
 
     // Guards against taking an instance's own failed calls for an outage of the store.
-    void refusedInstanceBelievesWhoeverTheStoreServed()
+    void refusedInstanceFollowsAnInstanceThatTheStoreServed()
     {
         const StoreEvidence alone{refused(), {}};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), alone) == noticed + Policy::lapseGrace);
@@ -52,15 +52,15 @@
     }
 
     // Guards against a grace period that is counted from the receipt of a removal.
-    void graceEndsTwoSecondsAfterTheReturn()
+    void graceEndsTwoSecondsAfterRecovery()
     {
-        const auto returned = noticed - Milliseconds(900);
-        const StoreEvidence evidence{reached(returned, removedIn), {}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == returned + Policy::lapseGrace);
+        const auto recovered = noticed - Milliseconds(900);
+        const StoreEvidence evidence{reached(recovered, removedIn), {}};
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == recovered + Policy::lapseGrace);
     }
 
     // Guards against waiting longer if another instance saw the store recover before this one.
-    void earliestReturnCounts()
+    void earliestRecoveryCounts()
     {
         const auto first = noticed - Milliseconds(1500);
         const auto own = noticed - Milliseconds(200);
@@ -69,18 +69,18 @@
     }
 
     // Guards against dropping expired targets on the report of a peer whose own call still hangs.
-    void hearsayOfARemovalIsNoWitness()
+    void removalReceivedFromAPeerIsNoEvidence()
     {
         const auto hanging = reached(longBefore, removedIn - 5);
-        const auto returned = noticed - Milliseconds(100);
-        const StoreEvidence reader{reached(returned, removedIn), {hanging}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader) == returned + Policy::lapseGrace);
+        const auto recovered = noticed - Milliseconds(100);
+        const StoreEvidence reader{reached(recovered, removedIn), {hanging}};
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader) == recovered + Policy::lapseGrace);
         // The instance with the hanging call follows the reader's report.
-        const StoreEvidence hearer{hanging, {reached(returned, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), hearer) == returned + Policy::lapseGrace);
+        const StoreEvidence follower{hanging, {reached(recovered, removedIn)}};
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), follower) == recovered + Policy::lapseGrace);
     }
 
-    void instanceThatIsNotAskingTakesARemovalForALeave()
+    void nonReaderConsidersARemovalALeave()
     {
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), {}) < noticed);
         const StoreEvidence evidence{{}, {reached(noticed, removedIn)}};
@@ -89,7 +89,7 @@
 
     // Guards against considering an instance's start the store's recovery, or evidence that the
     // store was reachable.
-    void freshInstanceTakesARemovalForALeaveAndIsNoWitnessForOthers()
+    void freshInstanceConsidersARemovalALeaveAndIsNoEvidenceForOthers()
     {
         const auto started = noticed - Milliseconds(300);
         const StoreStanding fresh{StoreContact::Reached, started, Model::longAgo, removedIn};
@@ -99,14 +99,14 @@
     }
 
     // Guards against dropping all targets at once after an outage during which calls kept waiting.
-    void manyAtOnceAreKeptForAWhileWhateverWitnessesSay()
+    void simultaneousRemovalsAreKeptForTheGracePeriod()
     {
         const StoreEvidence calm{reached(longBefore, removedIn), {}};
         const auto until = Policy::usableUntil(removal(true), calm);
         CPPUNIT_ASSERT(until == noticed + Policy::unseenLapseGrace);
     }
 
-    void graceIsNeverLongerThanALapseLasts()
+    void graceIsAtMostTheExpiryGrace()
     {
         Support::assertProperty("a removed target is used for at most two seconds", [] {
             const auto standing = [] {
@@ -126,7 +126,7 @@
     }
 
     // Guards against using the report of an instance that may have failed before the store did.
-    void silentPeersAreNoWitnesses()
+    void silentPeersAreNoEvidence()
     {
         Policy::Members members;
         for (const char *name : {"own", "living", "silent"}) {
--- a/Tests/LibPolicy/TestShares.cpp
+++ b/Tests/LibPolicy/TestShares.cpp
@@ -97,9 +97,9 @@
     CPPUNIT_TEST_SUITE(TestShares);
     CPPUNIT_TEST(plannedSharesNeverMoveFasterThanTheCaps);
     CPPUNIT_TEST(editsInTheMiddleOfAShiftDoNotMakeItJump);
-    CPPUNIT_TEST(entriesThatStepAtAnyTimesStayWithinTheCaps);
+    CPPUNIT_TEST(entriesThatUpdateAtAnyTimesStayWithinTheCaps);
     CPPUNIT_TEST(drainEndsWhenTheCapAllows);
-    CPPUNIT_TEST(drainedRegionGivesItsTrafficToOthers);
+    CPPUNIT_TEST(drainedRegionShiftsItsTrafficToOthers);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -151,7 +151,7 @@
     // Guards against the sum over all entries moving faster than the cap after a crash, because an
     // entry jumps, or a fresh one starts at the goal. Several entries update at random times,
     // failure domains fail and recover, and entries restart from a peer's shares.
-    void entriesThatStepAtAnyTimesStayWithinTheCaps()
+    void entriesThatUpdateAtAnyTimesStayWithinTheCaps()
     {
         Support::assertProperty("any interleaving of any number of entries keeps the caps", [] {
             const RandomTable random = randomTable();
@@ -215,7 +215,7 @@
         CPPUNIT_ASSERT(std::abs(left.count() - 2500) <= 20);
     }
 
-    void drainedRegionGivesItsTrafficToOthers()
+    void drainedRegionShiftsItsTrafficToOthers()
     {
         const auto rows = Model::rowsFromText(
             "[region r]\n[region q]\n[service s]\n[domain a]\nregion = r\nweight = 0\n"
