--- a/Libraries/LibPolicy/CrashEvidence.h
+++ b/Libraries/LibPolicy/CrashEvidence.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "RequestPrint.h"
+#include "RequestFingerprint.h"
 
 #include <LibModel/LibModel.h>
 
--- a/Libraries/LibPolicy/CrashNews.cpp
+++ b/Libraries/LibPolicy/CrashUpdate.cpp
@@ -1,4 +1,4 @@
-#include "CrashNews.h"
+#include "CrashUpdate.h"
 
 #include <algorithm>
 
--- a/Libraries/LibPolicy/LeaveSpans.h
+++ b/Libraries/LibPolicy/LeaveSpans.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "RegistrationLapse.h"
+#include "RegistrationExpiry.h"
 
 #include <string_view>
 #include <vector>
--- a/Libraries/LibPolicy/PeerNews.cpp
+++ b/Libraries/LibPolicy/PeerUpdate.cpp
@@ -1,4 +1,4 @@
-#include "PeerNews.h"
+#include "PeerUpdate.h"
 
 #include "HomePlacement.h"
 
--- a/Libraries/LibPolicy/RegistrationLapse.cpp
+++ b/Libraries/LibPolicy/RegistrationExpiry.cpp
@@ -1,4 +1,4 @@
-#include "RegistrationLapse.h"
+#include "RegistrationExpiry.h"
 
 #include <algorithm>
 #include <optional>
--- a/Libraries/LibPolicy/RequestPrint.cpp
+++ b/Libraries/LibPolicy/RequestFingerprint.cpp
@@ -1,4 +1,4 @@
-#include "RequestPrint.h"
+#include "RequestFingerprint.h"
 
 #include <LibModel/LibModel.h>
 
--- a/Tests/LibPolicy/TestPeerNews.cpp
+++ b/Tests/LibPolicy/TestPeerUpdate.cpp
@@ -42,9 +42,9 @@
         }));
 }
 
-class TestPeerNews : public CppUnit::TestFixture
+class TestPeerUpdate : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestPeerNews);
+    CPPUNIT_TEST_SUITE(TestPeerUpdate);
     CPPUNIT_TEST(eachInstanceKnowsItsRegionInAFewRounds);
     CPPUNIT_TEST(liveInstancesAreNeverConsideredFailed);
     CPPUNIT_TEST(liveRemoteInstancesAreNeverConsideredFailed);
@@ -380,5 +380,5 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestPeerNews);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestPeerUpdate);
 CPPUNIT_TEST_SUITE_REGISTRATION(TestStoreReaders);
--- a/Tests/LibPolicy/TestRegistrationLapse.cpp
+++ b/Tests/LibPolicy/TestRegistrationExpiry.cpp
@@ -14,9 +14,9 @@
 const SteadyTime noticed{std::chrono::hours(1)};
 const SteadyTime longBefore = noticed - std::chrono::minutes(10);
 
-class TestRegistrationLapse : public CppUnit::TestFixture
+class TestRegistrationExpiry : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestRegistrationLapse);
+    CPPUNIT_TEST_SUITE(TestRegistrationExpiry);
     CPPUNIT_TEST(refusedInstanceFollowsAnInstanceThatTheStoreServed);
     CPPUNIT_TEST(graceEndsTwoSecondsAfterRecovery);
     CPPUNIT_TEST(earliestRecoveryCounts);
@@ -147,4 +147,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestRegistrationLapse);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestRegistrationExpiry);
