--- a/Libraries/LibPolicy/CrashEvidence.cpp
+++ b/Libraries/LibPolicy/CrashEvidence.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using Crashes = std::vector<const EndedRun *>;
+using Crashes = std::vector<const CrashedIncarnation *>;
 
 /// A request and the incarnations that crashed while processing it, sorted by their address.
 struct RequestEvidence
@@ -51,8 +51,8 @@
 
 /// Returns whether another request than \a fingerprint that was in progress in \a crashed is
 /// quarantined.
-bool isExplained(const CrashBook &records, const EndedRun &crashed, const RequestPrint &fingerprint,
-                 SteadyTime now)
+bool isExplained(const CrashBook &records, const CrashedIncarnation &crashed,
+                 const RequestPrint &fingerprint, SteadyTime now)
 {
     return std::any_of(
         crashed.suspects_.begin(), crashed.suspects_.end(), [&](const Suspect &suspect) {
@@ -74,9 +74,10 @@
 }
 
 /// Returns the suspects that are not cleared, each with an incarnation in which it was in progress.
-std::vector<std::pair<RequestPrint, const EndedRun *>> suspectsIn(const CrashBook &records)
+std::vector<std::pair<RequestPrint, const CrashedIncarnation *>>
+suspectsIn(const CrashBook &records)
 {
-    std::vector<std::pair<RequestPrint, const EndedRun *>> all;
+    std::vector<std::pair<RequestPrint, const CrashedIncarnation *>> all;
     for (const auto &[key, crashed] : records.runs_) {
         for (const auto &suspect : crashed.suspects_) {
             if (!suspect.isCleared_)
@@ -140,7 +141,7 @@
 {
     std::vector<SteadyTime> times;
     times.reserve(crashes.size());
-    for (const EndedRun *crashed : crashes)
+    for (const CrashedIncarnation *crashed : crashes)
         times.push_back(crashed->endedAt_);
     std::sort(times.begin(), times.end());
     std::size_t instants = 0;
@@ -161,7 +162,7 @@
         if (other.print_.request_ == suspected.print_.request_ || other.runs_.size() < 2)
             return false;
         const auto apart = std::count_if(
-            suspected.runs_.begin(), suspected.runs_.end(), [&](const EndedRun *crashed) {
+            suspected.runs_.begin(), suspected.runs_.end(), [&](const CrashedIncarnation *crashed) {
                 return !std::binary_search(other.runs_.begin(), other.runs_.end(), crashed);
             });
         return apart < 2;
@@ -196,7 +197,7 @@
         if (suspected.runs_.size() < needed)
             continue;
         RequestEvidence candidate{fingerprint, {}};
-        for (const EndedRun *crashed : suspected.runs_) {
+        for (const CrashedIncarnation *crashed : suspected.runs_) {
             if (!isExplained(records, *crashed, fingerprint, now))
                 candidate.runs_.push_back(crashed);
         }
@@ -303,7 +304,7 @@
                SteadyTime now)
 {
     const auto [found, isNew] = records.runs_.try_emplace(crashed);
-    EndedRun &ended = found->second;
+    CrashedIncarnation &ended = found->second;
     if (isNew) {
         ended.endedAt_ = now;
         ended.changedAt_ = now;
--- a/Libraries/LibPolicy/CrashEvidence.h
+++ b/Libraries/LibPolicy/CrashEvidence.h
@@ -28,7 +28,7 @@
 };
 
 /// An incarnation of a target that ended without announcing it.
-struct EndedRun
+struct CrashedIncarnation
 {
     Model::SteadyTime endedAt_;
     std::vector<Suspect> suspects_;
@@ -52,7 +52,7 @@
 /// Thread safety: none.
 struct CrashBook
 {
-    std::map<RunKey, EndedRun> runs_;
+    std::map<RunKey, CrashedIncarnation> runs_;
     std::map<RequestPrint, Quarantine> quarantines_;
     /// When the evidence against a request first sufficed; the decision follows after settleTime.
     std::map<RequestPrint, Model::SteadyTime> pending_;
--- a/Libraries/LibPolicy/CrashUpdate.cpp
+++ b/Libraries/LibPolicy/CrashUpdate.cpp
@@ -42,7 +42,7 @@
     // It is dropped again if the records are full of younger ones.
     if (found == records.runs_.end())
         return hasChanged;
-    EndedRun &crashed = found->second;
+    CrashedIncarnation &crashed = found->second;
     crashed.endedAt_ = std::min(crashed.endedAt_, now - received.age_);
     for (std::size_t i = 0; i < count; ++i) {
         for (auto &suspect : crashed.suspects_) {
