--- a/Libraries/LibPolicy/EntryRanking.h
+++ b/Libraries/LibPolicy/EntryRanking.h
@@ -22,13 +22,13 @@
     Model::CallerId caller_;
     /// The caller's region.
     Model::RegionId origin_;
-    /// The caller's failure domain, if known.
+    /// The failure domain closest to the caller, if known.
     Model::FailureDomainId nearDomain_;
 };
 
 /// Returns the entries that the caller should try, best first, at most \a most.
 ///
-/// Entries of the caller's region come first, those of its failure domain before others, each group
+/// Entries of the caller's region come first, those closest to the caller before others, each group
 /// in rendezvous order: spread over callers and stable for one caller, so that adding or removing
 /// an entry moves only that entry's callers. Failed entries are omitted, and so are leaving ones,
 /// which still serve for a while, unless the caller's region has no others. If \a most is more than
