--- /dev/null
+++ b/Libraries/LibPolicy/RequestFingerprint.h
@@ -0,0 +1,73 @@
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <string_view>
+
+namespace Policy {
+
+/// The parts of a request that distinguish it from others.
+struct RequestText
+{
+    std::string_view method_;
+    std::string_view host_;
+    /// Path and query.
+    std::string_view target_;
+    std::string_view body_;
+    /// The caller's name or key, else its IP address.
+    std::string_view caller_;
+};
+
+/// The fingerprint of a request without its id: the same for every repeat, on every instance.
+struct RequestPrint
+{
+    /// The upper half is headOf() of the request, the lower half also depends on its body.
+    std::uint64_t request_ = 0;
+    /// Zero matches any caller.
+    std::uint32_t caller_ = 0;
+
+    auto operator<=>(const RequestPrint &) const = default;
+};
+
+/// Returns the fingerprint prefix, which does not depend on the body. Thread safety: any thread.
+std::uint32_t headOf(const RequestText &text);
+constexpr std::uint32_t headOf(const RequestPrint &fingerprint)
+{
+    return static_cast<std::uint32_t>(fingerprint.request_ >> 32U);
+}
+
+/// Returns the fingerprint of a request; \a prefix is headOf() of it. Thread safety: any thread.
+RequestPrint printOf(const RequestText &text, std::uint32_t prefix);
+inline RequestPrint printOf(const RequestText &text)
+{
+    return printOf(text, headOf(text));
+}
+
+/// Returns "0123456789abcdef-01234567"; printFromText() parses it and returns std::nullopt, with
+/// BadValue as the last reason, for any other text. Thread safety: any thread.
+std::string toText(const RequestPrint &fingerprint);
+std::optional<RequestPrint> printFromText(std::string_view text);
+
+/// Readable names of fingerprinted requests, as their callers sent them, so that operators
+/// recognise them. Not shared between threads.
+struct RequestNames
+{
+    std::map<RequestPrint, std::string> names_;
+};
+
+/// The maximum number of names, beyond which all are dropped, and their maximum length.
+constexpr std::size_t maxNames = 256;
+constexpr std::size_t maxNameLength = 120;
+
+/// Stores \a name, truncated to maxNameLength. Thread safety: \a names belongs to the calling
+/// thread.
+void remember(RequestNames &names, const RequestPrint &fingerprint, std::string name);
+
+/// Returns the name of a request with \a fingerprint, or of one that differs only in its caller;
+/// empty if there is none. Thread safety: any thread.
+std::string nameOf(const RequestNames &names, const RequestPrint &fingerprint);
+
+} // namespace Policy
--- a/Libraries/LibPolicy/Shares.cpp
+++ b/Libraries/LibPolicy/Shares.cpp
@@ -36,7 +36,7 @@
     return vector;
 }
 
-/// The times after \a start at which the goal changes by schedule, in order.
+/// Returns the times at which the goal changes by schedule, in order.
 std::vector<WallTime> scheduledTimes(const Model::Table &table)
 {
     std::vector<WallTime> times;
@@ -50,7 +50,7 @@
     return times;
 }
 
-/// A point on the line of planned shares.
+/// The planned shares at a time.
 struct PlanPoint
 {
     ShareVector shares_;
@@ -70,23 +70,23 @@
     return {goalShares(table, service, origin, first - Milliseconds(1), {}), first};
 }
 
-/// Walks the line up to \a now.
-PlanPoint walkedPoint(const Model::Table &table, const Model::Service &service,
-                      const Model::RegionId &origin, WallTime now)
+/// Returns the planned shares at \a now, applying each scheduled change in turn.
+PlanPoint planAt(const Model::Table &table, const Model::Service &service,
+                 const Model::RegionId &origin, WallTime now)
 {
     const ShiftCaps caps = capsOf(service);
     PlanPoint point = firstPoint(table, service.id_, origin, now);
-    const auto walkTo = [&](WallTime until) {
+    const auto advanceTo = [&](WallTime until) {
         const ShareVector goal = goalShares(table, service.id_, origin, point.at_, {});
         point.shares_ = movedShares(table, point.shares_, goal, caps, until - point.at_);
         point.at_ = until;
     };
     for (WallTime time : scheduledTimes(table)) {
         if (time > point.at_ && time < now)
-            walkTo(time);
+            advanceTo(time);
     }
     if (point.at_ < now)
-        walkTo(now);
+        advanceTo(now);
     return point;
 }
 
@@ -150,7 +150,7 @@
 ShareVector movedShares(const Model::Table &table, const ShareVector &from, const ShareVector &to,
                         const ShiftCaps &caps, Milliseconds elapsed)
 {
-    // With nowhere to go the traffic stays where it is; requests are refused there.
+    // Without a goal the traffic stays where it is; requests are refused there.
     if (sum(to) <= negligible)
         return from;
     if (sum(from) <= negligible)
@@ -168,7 +168,7 @@
     const auto *row = table.service(service);
     if (!row)
         return {std::vector<double>(table.domains().size(), 0.0)};
-    return walkedPoint(table, *row, origin, now).shares_;
+    return planAt(table, *row, origin, now).shares_;
 }
 
 Milliseconds timeToGoal(const Model::Table &table, const Model::ServiceId &service,
@@ -177,7 +177,7 @@
     const auto *row = table.service(service);
     if (!row)
         return Milliseconds(0);
-    const ShareVector shares = walkedPoint(table, *row, origin, now).shares_;
+    const ShareVector shares = planAt(table, *row, origin, now).shares_;
     const ShareVector goal = goalShares(table, service, origin, now, {});
     if (sum(goal) <= negligible)
         return Milliseconds(0);
@@ -187,7 +187,7 @@
     if (distance <= negligible)
         return Milliseconds(0);
 
-    // The progress is linear in time, so the progress of one second tells the whole time.
+    // Progress is linear in time, so one step determines the whole duration.
     const auto oneDay = std::chrono::hours(24);
     const double inADay = allowedProgress(table, shares, goal, capsOf(*row), oneDay);
     if (inADay < 1) {
--- a/Tests/LibPolicy/TestPeerNews.cpp
+++ b/Tests/LibPolicy/TestPeerUpdate.cpp
@@ -9,16 +9,16 @@
 using Simulated::Fleet;
 using Simulated::Node;
 
-/// The oldest word that any running instance has of another one of its region, or of the contacts
-/// of other regions that it knows.
-Milliseconds oldestWord(const Fleet &fleet, bool ofFarOnes)
+/// Returns the age of the oldest heartbeat record that any running instance has of local members,
+/// or of remote ones.
+Milliseconds oldestHeartbeatAge(const Fleet &fleet, bool ofRemoteMembers)
 {
     Milliseconds oldest{0};
     for (const auto &node : fleet.nodes_) {
         if (!node.isRunning_)
             continue;
         for (const auto &[id, member] : node.members_) {
-            if (member.isFar_ == ofFarOnes && !member.isHearsay_)
+            if (member.isFar_ == ofRemoteMembers && !member.isHearsay_)
                 oldest = std::max(oldest, Policy::pulseAt(member, fleet.now_).age_);
         }
     }
@@ -34,7 +34,7 @@
     return count;
 }
 
-std::size_t takenForLost(const Fleet &fleet, const Node &node)
+std::size_t consideredFailed(const Fleet &fleet, const Node &node)
 {
     return static_cast<std::size_t>(
         std::count_if(node.members_.begin(), node.members_.end(), [&](const auto &entry) {
@@ -42,27 +42,27 @@
         }));
 }
 
-class TestPeerNews : public CppUnit::TestFixture
+class TestPeerUpdate : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestPeerNews);
-    CPPUNIT_TEST(everybodyKnowsItsRegionInAFewRounds);
-    CPPUNIT_TEST(livingInstancesAreNeverTakenForDead);
-    CPPUNIT_TEST(livingInstancesOfOtherRegionsAreNeverTakenForLost);
+    CPPUNIT_TEST_SUITE(TestPeerUpdate);
+    CPPUNIT_TEST(eachInstanceKnowsItsRegionInAFewRounds);
+    CPPUNIT_TEST(liveInstancesAreNeverConsideredFailed);
+    CPPUNIT_TEST(liveRemoteInstancesAreNeverConsideredFailed);
     CPPUNIT_TEST(exchangesStayInTheRegionAndMessagesStaySmall);
-    CPPUNIT_TEST(lastWordOfADeadInstanceDoesNotKeepItAlive);
-    CPPUNIT_TEST(halvesThatWereApartFindEachOther);
-    CPPUNIT_TEST(countsOfOtherRegionsAreTheirOwn);
-    CPPUNIT_TEST(newsCrossesBetweenDomainsOnce);
-    CPPUNIT_TEST(newsIsFetchedAsNearAsItIsKnown);
+    CPPUNIT_TEST(lastHeartbeatOfAFailedInstanceDoesNotKeepItAlive);
+    CPPUNIT_TEST(partitionedRegionsRejoin);
+    CPPUNIT_TEST(remoteRegionsReportTheirOwnCounts);
+    CPPUNIT_TEST(updatesCrossBetweenDomainsOnce);
+    CPPUNIT_TEST(updatesAreFetchedFromTheNearestPeer);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     static constexpr std::size_t sizes[] = {2, 10, 50};
-    static constexpr std::size_t fewest = 4;
+    static constexpr std::size_t minKnownMembers = 4;
     /// Three regions of 66 instances, and fifteen of 20.
     static constexpr Simulated::FleetShape largeShapes[] = {{3, 3, 22}, {15, 4, 5}};
 
-    void everybodyKnowsItsRegionInAFewRounds()
+    void eachInstanceKnowsItsRegionInAFewRounds()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
@@ -74,33 +74,34 @@
         }
     }
 
-    // Symptom: instances vanish from look-ups for moments though nothing happened to them.
-    // Sequence: none; the fleet is calm.
-    // Cause: news that takes longer than the time after which silence counts as death.
-    void livingInstancesAreNeverTakenForDead()
+    // Guards against live instances disappearing from look-ups for moments in a calm fleet, because
+    // updates take longer than the time after which a silent instance is considered failed.
+    void liveInstancesAreNeverConsideredFailed()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
             fleet.playRounds(40);
             for (int i = 0; i < 100; ++i) {
                 fleet.playRounds(1);
-                const auto near = oldestWord(fleet, false);
-                CPPUNIT_ASSERT_MESSAGE(std::to_string(near.count()), near <= Policy::aliveFor);
+                const auto oldestLocal = oldestHeartbeatAge(fleet, false);
+                CPPUNIT_ASSERT_MESSAGE(std::to_string(oldestLocal.count()),
+                                       oldestLocal <= Policy::aliveFor);
                 for (const auto &node : fleet.nodes_) {
-                    // Of another region it is enough to know some.
+                    // Of a remote region, knowing some members suffices.
                     for (const char *region : {"r", "s", "t"})
-                        CPPUNIT_ASSERT(aliveOf(fleet, node, region) >= std::min(perDomain, fewest));
+                        CPPUNIT_ASSERT(aliveOf(fleet, node, region)
+                                       >= std::min(perDomain, minKnownMembers));
                 }
             }
         }
     }
 
-    // Symptom: a third of a calm fleet's log lines tell of instances that are lost and come back.
-    // Sequence: none; each instance hears of any instance of other regions that asks it or that a
-    //   peer happens to name, and of most of them never again.
-    // Cause: keeping whoever was heard of once, where news comes regularly of a region's contacts
-    //   only; and samples of the contacts' news that leave some out for longer than they count.
-    void livingInstancesOfOtherRegionsAreNeverTakenForLost()
+    // Guards against a calm fleet in which a third of the log lines report instances that are lost
+    // and return. Each instance receives records of any remote instance that contacts it or that a
+    // peer names, and of most of them never again. It happens if all of these are kept, although
+    // only a region's contacts are updated regularly, or if samples of the contacts' records omit
+    // some for longer than they count as alive.
+    void liveRemoteInstancesAreNeverConsideredFailed()
     {
         for (const Simulated::FleetShape &shape : largeShapes) {
             Fleet fleet(shape);
@@ -108,46 +109,48 @@
             for (int i = 0; i < 250; ++i) {
                 fleet.playRounds(1);
                 for (const auto &node : fleet.nodes_)
-                    CPPUNIT_ASSERT_EQUAL(std::size_t(0), takenForLost(fleet, node));
+                    CPPUNIT_ASSERT_EQUAL(std::size_t(0), consideredFailed(fleet, node));
             }
         }
     }
 
-    // Symptom: five sixths of what crosses between regions is instances telling of each other.
-    // Sequence: none; 61 instances on a calm day.
-    // Cause: peers drawn from the whole fleet, and whole records of all in each message.
+    // Guards against gossip making up five sixths of the traffic between regions, in a calm fleet
+    // of 61 instances, because peers are drawn from the whole fleet and each message has the full
+    // records of all members.
     void exchangesStayInTheRegionAndMessagesStaySmall()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
             fleet.playRounds(10);
-            fleet.exchanges_ = fleet.farExchanges_ = 0;
-            fleet.mostNamed_ = 0;
+            fleet.exchanges_ = fleet.remoteExchanges_ = 0;
+            fleet.maxMembersInMessage_ = 0;
             constexpr int rounds = 100;
             fleet.playRounds(rounds);
-            const double farInRound = static_cast<double>(fleet.farExchanges_) / rounds;
-            // Three regions, each of which makes two on average, or by the part that asks afar.
-            const double inRegion = std::max(Policy::farPeersOfRegionInRound,
-                                             Policy::farPartOfRegion * 2.0 * double(perDomain));
-            CPPUNIT_ASSERT_MESSAGE(std::to_string(farInRound), farInRound < 3 * inRegion * 1.2);
+            const double remoteInRound = static_cast<double>(fleet.remoteExchanges_) / rounds;
+            // Each of the three regions makes two on average, or remotePeerFraction of its
+            // instances do.
+            const double inRegion = std::max(Policy::remotePeersOfRegionInRound,
+                                             Policy::remotePeerFraction * 2.0 * double(perDomain));
+            CPPUNIT_ASSERT_MESSAGE(std::to_string(remoteInRound),
+                                   remoteInRound < 3 * inRegion * 1.2);
             const std::size_t named
-                = Policy::mostNearTold + Policy::contactsOfRegion + Policy::mostContacts;
-            CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.mostNamed_), fleet.mostNamed_ <= named);
+                = Policy::maxLocalRecords + Policy::contactsOfRegion + Policy::maxRemoteContacts;
+            CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.maxMembersInMessage_),
+                                   fleet.maxMembersInMessage_ <= named);
         }
     }
 
-    // Symptom: callers are sent to an instance that lost power six seconds ago.
-    // Sequence: it dies; its last heartbeat still goes round, and each that hears it for the first
-    //   time takes it for a sign of life now.
-    // Cause: counting a heartbeat's age from when it was heard instead of from when it was made.
-    void lastWordOfADeadInstanceDoesNotKeepItAlive()
+    // Guards against sending callers to an instance that lost power six seconds ago. Its last
+    // heartbeat still spreads, and each instance that first receives it considers it current if the
+    // heartbeat's age is counted from its arrival instead of from its increment.
+    void lastHeartbeatOfAFailedInstanceDoesNotKeepItAlive()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
             fleet.playRounds(20);
             Node &dead = fleet.nodes_.back();
             dead.isRunning_ = false;
-            // Until the near ones, and until the far ones, must have noticed; with one round more.
+            // Until local, and until remote, instances must have detected it, plus one round.
             const auto roundsIn = [](Milliseconds time) {
                 return static_cast<int>(time / Fleet::roundPeriod) + 1;
             };
@@ -158,21 +161,21 @@
         }
     }
 
-    static void assertDead(const Fleet &fleet, const Model::Instance &dead, bool alsoFar)
+    static void assertDead(const Fleet &fleet, const Model::Instance &dead, bool alsoRemote)
     {
         for (const auto &node : fleet.nodes_) {
             const auto found = node.members_.find(dead.id_);
             if (!node.isRunning_ || found == node.members_.end())
                 continue;
-            if (!found->second.isFar_ || alsoFar)
+            if (!found->second.isFar_ || alsoRemote)
                 CPPUNIT_ASSERT(!Policy::isAlive(found->second, fleet.now_));
         }
     }
 
-    // Symptom: after an hour's cut two regions go on as if the other one did not exist.
-    // Sequence: a region is cut off for a minute; every side takes the other one for dead.
-    // Cause: forgetting where the dead ones were, so that nobody asks them again.
-    void halvesThatWereApartFindEachOther()
+    // Guards against two regions that never rejoin after an hour's partition. A region is
+    // partitioned for a minute, and each side considers the other one failed; if failed members'
+    // addresses are dropped, no instance contacts them again.
+    void partitionedRegionsRejoin()
     {
         for (const std::size_t perDomain : sizes) {
             Fleet fleet(perDomain);
@@ -200,12 +203,11 @@
         return counts;
     }
 
-    // Symptom: in a fleet of three hundred the rows of targets are most of what crosses between
-    //   failure domains.
-    // Sequence: targets register; each change is told at once to peers of the whole region, and
-    //   each fetches the rows from the one that told it.
-    // Cause: news that crosses with two fetches of three instead of once for each domain.
-    void newsCrossesBetweenDomainsOnce()
+    // Guards against the rows of targets being most of the traffic between failure domains in a
+    // fleet of three hundred. Each registration is announced to peers of the whole region, each of
+    // which fetches the rows from the announcer, so two fetches of three cross between domains
+    // instead of one per domain.
+    void updatesCrossBetweenDomainsOnce()
     {
         Fleet fleet(Simulated::FleetShape{3, 3, 22});
         fleet.playRounds(10);
@@ -222,7 +224,7 @@
             const std::map<std::string, std::size_t> inside{{"r-b", Policy::peersToldAtOnce}};
             CPPUNIT_ASSERT(passedOn == inside);
         }
-        // One that is alone in its domain passes it on to the others.
+        // An instance that is alone in its domain announces it to the others.
         for (auto &[id, member] : relay.members_) {
             if (member.instance_.domain_ == relay.instance_.domain_)
                 member.isHearsay_ = id != relay.instance_.id_;
@@ -232,7 +234,7 @@
         CPPUNIT_ASSERT_EQUAL(Policy::peersToldAtOnce, beyond.size());
     }
 
-    void newsIsFetchedAsNearAsItIsKnown()
+    void updatesAreFetchedFromTheNearestPeer()
     {
         Fleet fleet(Simulated::FleetShape{3, 3, 22});
         fleet.playRounds(10);
@@ -250,13 +252,14 @@
                 CPPUNIT_ASSERT_EQUAL(informed.back(), chosen->instance_.domain_.value());
             }
         }
-        const auto nobody = [](const Policy::Member &) {
+        const auto noMember = [](const Policy::Member &) {
             return false;
         };
-        CPPUNIT_ASSERT(!Policy::nearestThat(node.members_, node.instance_, nobody, fleet.now_, 1));
+        CPPUNIT_ASSERT(
+            !Policy::nearestThat(node.members_, node.instance_, noMember, fleet.now_, 1));
     }
 
-    void countsOfOtherRegionsAreTheirOwn()
+    void remoteRegionsReportTheirOwnCounts()
     {
         Fleet fleet(50);
         fleet.playRounds(30);
@@ -273,11 +276,11 @@
 class TestStoreReaders : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestStoreReaders);
-    CPPUNIT_TEST(smallFleetsReadForThemselves);
+    CPPUNIT_TEST(eachInstanceOfASmallFleetReads);
     CPPUNIT_TEST(eachRegionHasAFewReadersInAllItsDomains);
-    CPPUNIT_TEST(whoIsTurnedAwayIsReplaced);
-    CPPUNIT_TEST(whoDiesIsReplaced);
-    CPPUNIT_TEST(whereAllAreTurnedAwayAllGoOn);
+    CPPUNIT_TEST(refusedReaderIsReplaced);
+    CPPUNIT_TEST(failedReaderIsReplaced);
+    CPPUNIT_TEST(allReadIfTheStoreRefusesAll);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -301,7 +304,7 @@
         }
     }
 
-    void smallFleetsReadForThemselves()
+    void eachInstanceOfASmallFleetReads()
     {
         Fleet fleet(2);
         fleet.playRounds(5);
@@ -337,10 +340,10 @@
         }
     }
 
-    // Symptom: a region goes on with an old configuration while all others have the new one.
-    // Sequence: the store turns all readers of a region away and would serve the rest of it.
-    // Cause: readers that stay readers whatever the store says to them.
-    void whoIsTurnedAwayIsReplaced()
+    // Guards against a region that keeps an old configuration while all others have the new one.
+    // The store refuses all readers of the region but would serve its other instances; it happens
+    // if refused instances remain readers.
+    void refusedReaderIsReplaced()
     {
         Fleet fleet(10);
         fleet.playRounds(10);
@@ -354,7 +357,7 @@
             CPPUNIT_ASSERT(std::find(before.begin(), before.end(), node) == before.end());
     }
 
-    void whoDiesIsReplaced()
+    void failedReaderIsReplaced()
     {
         Fleet fleet(10);
         fleet.playRounds(10);
@@ -364,7 +367,7 @@
         CPPUNIT_ASSERT_EQUAL(Policy::readersInRegion, readers(fleet, "r").size());
     }
 
-    void whereAllAreTurnedAwayAllGoOn()
+    void allReadIfTheStoreRefusesAll()
     {
         Fleet fleet(10);
         fleet.playRounds(10);
@@ -377,5 +380,5 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestPeerNews);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestPeerUpdate);
 CPPUNIT_TEST_SUITE_REGISTRATION(TestStoreReaders);
