--- a/Libraries/LibSteering/CrashGuard.cpp
+++ b/Libraries/LibSteering/CrashGuard.cpp
@@ -38,7 +38,8 @@
     case RequestStanding::Free:
         return std::nullopt;
     case RequestStanding::Trial:
-        // What lost a target beside another request is sent on all the same.
+        // A retry is still sent: the request may have been lost to a crash that another request
+        // caused.
         if (job.isOnTrial_ || job.attempts_ > 0)
             return std::nullopt;
         job.isOnTrial_ = !std::exchange(isTrialHeld_, true);
@@ -81,7 +82,7 @@
 bool CrashGuard::noteLost(Job &job, const std::shared_ptr<TargetState> &kept, SteadyTime now)
 {
     TargetState &target = *kept;
-    // The end of a target that leaves is no crash.
+    // A leaving target that stops is no crash.
     if (target.record_.isLeaving_ || target.removed_)
         return false;
     remember(job, kept, now);
@@ -137,13 +138,13 @@
             unwritten_.push_back(lifted);
         }
     }
-    // Others of its kind need not wait for the next tick.
+    // Admits requests with the same fingerprint before the next tick.
     if (job.isOnTrial_)
         view_ = Policy::viewOf(book_, now);
 }
 
-/// Something between the two ends may go on listening for a target that ended; that another run
-/// registered itself at its address tells too.
+/// A proxy may keep listening on behalf of a crashed target; a later registration at its address
+/// also proves that it ended.
 void CrashGuard::findSucceeded(SteadyTime now)
 {
     for (const auto &target : lossy_) {
@@ -302,7 +303,8 @@
 bool CrashGuard::lift(const RequestPrint &print, SteadyTime now)
 {
     if (!Policy::liftQuarantine(book_, print, now)) {
-        Model::fail(ResultCode::UnknownRow, "no quarantine of " + toText(print));
+        Model::fail(ResultCode::UnknownRow,
+                    "no quarantine in force for request fingerprint " + toText(print));
         return false;
     }
     logLifted(print, "operator");
--- a/Libraries/LibSteering/CrashGuard.h
+++ b/Libraries/LibSteering/CrashGuard.h
@@ -9,15 +9,15 @@
 
 namespace Steering {
 
-/// A verdict as it stands in the store.
+/// A quarantine decision as stored in the store.
 struct QuarantineRecord
 {
     Policy::RequestPrint print_;
-    /// Nothing if the record is to be removed.
+    /// std::nullopt if the record is to be removed.
     std::optional<std::string> text_;
 };
 
-/// Keeps requests under which targets end from further targets.
+/// Withholds requests that crash targets from further targets.
 ///
 /// Thread safety: none; belongs to one thread.
 class CrashGuard
@@ -25,48 +25,50 @@
 public:
     CrashGuard(const PlatformPort &port, Observe::DecisionLog &log);
 
-    /// Returns why \a job may not be sent to a target now, if so. A job that may be is to be
-    /// released when it is done with targets.
+    /// Returns why \a job may not be sent to a target now, or std::nullopt if it may. A job that
+    /// may be sent must be passed to release() after its last attempt.
     std::optional<Refusal> check(Job &job, Model::SteadyTime now);
     void release(Job &job);
 
-    /// Takes in that the connection to \a target broke while \a job was in progress there. Returns
-    /// whether the target is to be asked if it still listens; noteListening() takes the answer.
+    /// Records that the connection to \a target broke while \a job was in progress there. Returns
+    /// whether the caller must probe if the target still listens, and pass the result to
+    /// noteListening().
     bool noteLost(Job &job, const std::shared_ptr<TargetState> &target, Model::SteadyTime now);
-    /// Takes in that this instance itself broke \a job off: should the target turn out to have
-    /// ended, it was in progress there.
+    /// Records that this instance cancelled \a job: if the target turns out to have crashed, the
+    /// request counts as in progress there.
     void noteBrokenOff(Job &job, const std::shared_ptr<TargetState> &target, Model::SteadyTime now);
     void noteListening(TargetState &target, Http::Listening listening, Model::SteadyTime now);
-    /// Takes in that a run of a target is over: nothing, or another run, listens at its address.
+    /// Records that an incarnation of a target has ended: no process, or another incarnation,
+    /// listens at its address.
     void noteEnded(TargetState &target, Model::SteadyTime now);
-    /// Takes in that a target has worked on \a job and answered.
+    /// Records that a target processed \a job and answered.
     void noteAnswered(Job &job, Model::SteadyTime now);
 
-    /// Finds targets whose place another run has taken, and makes the verdicts that are due. Called
-    /// every tick.
+    /// Finds targets that another incarnation replaced, and makes the quarantine decisions that are
+    /// due. Called every tick.
     void judge(Model::SteadyTime now);
 
     Policy::CrashNews news(Model::SteadyTime now) const { return Policy::newsOf(book_, now); }
-    /// Takes in a peer's news; one that is \a isPeerReady knows what there is to know.
+    /// Merges a peer's update. A peer for which \a isPeerReady holds has complete crash records.
     void hear(const Policy::CrashNews &news, bool isPeerReady, Model::SteadyTime now);
 
-    /// Tells whether the instance has heard which requests are in quarantine, or waited for it
-    /// long enough.
+    /// Returns whether the instance has received the list of quarantined requests, or has waited
+    /// for it long enough.
     bool isInformed() const { return isInformed_; }
     void setInformed() { isInformed_ = true; }
-    /// Takes in the store's records; those that cannot be read, or that have lapsed, are removed
-    /// there. \a wallNow is the wall clock's time at \a now.
+    /// Merges the store's records, and has unreadable and expired ones removed there. \a wallNow is
+    /// the wall clock's time at \a now.
     void takeRecords(const std::map<std::string, std::string> &records, Model::SteadyTime now,
                      Model::WallTime wallNow);
-    /// Returns the records that the store is to have, each once.
+    /// Returns the records that are yet to be written to the store, each once.
     std::vector<QuarantineRecord> takeUnwritten(Model::SteadyTime now, Model::WallTime wallNow);
-    /// Has a record returned once more that the store did not take.
+    /// Has takeUnwritten() return a record again that the store failed to write.
     void writeAgain(const Policy::RequestPrint &print) { unwritten_.push_back(print); }
 
-    /// Returns, as JSON, the requests in quarantine and those that were in progress at ends.
+    /// Returns, as JSON, the quarantined requests and those that were in progress at crashes.
     std::string listText(Model::SteadyTime now) const;
-    /// Lifts a quarantine for an operator. Returns false, with UnknownRow as the last reason, if
-    /// there is none in force.
+    /// Releases a request from quarantine for an operator. Returns false, with UnknownRow as the
+    /// last reason, if no quarantine is in force.
     bool lift(const Policy::RequestPrint &print, Model::SteadyTime now);
 
     std::size_t quarantined(Model::SteadyTime now) const;
@@ -85,9 +87,9 @@
     Policy::CrashBook book_;
     Policy::CrashView view_;
     Model::SteadyTime judgedAt_ = Model::longAgo;
-    /// Targets that lost requests of late.
+    /// Targets that recently lost requests.
     std::vector<std::shared_ptr<TargetState>> lossy_;
-    /// Of requests that were lost here.
+    /// Names of the requests that were lost on this instance.
     Policy::RequestNames names_;
     std::vector<Policy::RequestPrint> unwritten_;
     bool isTrialHeld_ = false;
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -16,23 +16,24 @@
 
 namespace {
 
-/// A request that must not run twice goes on a fresher connection than one that may.
+/// A non-idempotent request requires a connection that has been idle for less time.
 constexpr Milliseconds longestRest{8000};
 constexpr Milliseconds longestRestOnce{6000};
-/// How long after the deadline a target's own word that it gave up may still arrive.
+/// How long after the deadline a target's own timeout response may still arrive.
 constexpr Milliseconds deadlineSlack{150};
-/// A new connection that takes longer than this is worth having ready: callers of a region with few
-/// targets lose a round trip between regions on each.
+/// Connections that take longer than this to open are opened in advance: callers of a region with
+/// few targets lose an inter-region round trip on each.
 constexpr Microseconds dearConnection{10000};
-/// A connection that rested for longer is replaced before a request that must not run twice finds
-/// it too old.
+/// A connection that has been idle for longer is replaced before it is too old for a non-idempotent
+/// request.
 constexpr Milliseconds freshSpare = longestRestOnce - Milliseconds(1000);
-/// One request needs one connection; targets hold about four hundred for all entries together.
+/// Each request in progress needs one connection; a target accepts about 400 from all entries
+/// together.
 constexpr std::size_t connectionsToTarget = 24;
-/// Late answers to earlier requests that may stand in front of the right one.
+/// Late answers to earlier requests that may precede the matching one.
 constexpr int foreignAnswersSkipped = 2;
-/// Part of the second attempts that the platform lets all instances make, so that a miscount of
-/// instances breaks nothing.
+/// Fraction of the platform's retry limit for all instances that is used, so that a wrong count of
+/// instances does not exceed the limit.
 constexpr double usedRetryPart = 0.5;
 constexpr long long longestDeadlineMs = 600000;
 
@@ -70,7 +71,7 @@
     return Milliseconds(std::min(value, longestDeadlineMs));
 }
 
-/// Keeps the list of requests in progress in step with a request's life.
+/// Lists a request as in progress for the lifetime of this object.
 class Registration
 {
 public:
@@ -138,7 +139,7 @@
     job.deadline_ = job.arrivedAt_ + std::min(patience.value_or(timeout), timeout);
     const auto key = textOf(message[viewOf(port_.headers_.affinityKey_)]);
     job.hasObject_ = job.route_->hasAffinity_ && !key.empty();
-    // Objects of different routes are different things, though their keys may be alike.
+    // Objects of different routes are distinct even if their keys are equal.
     const std::string_view spread = job.hasObject_ ? key : std::string_view(job.id_);
     job.object_
         = Policy::ownerScore(Policy::seedOf(spread), Policy::seedOf(job.route_->id_.value()));
@@ -152,8 +153,8 @@
 
 Task<Http::Response> Dispatcher::carry(Job &job)
 {
-    // An attempt after which the request may have run. What it left open stays open, whatever the
-    // attempts after it come to.
+    // The first attempt after which the request may have run. Its outcome stays unknown regardless
+    // of the results of later attempts.
     std::optional<Attempt> open;
     while (true) {
         if (const auto kept = guard_.check(job, steadyNow()))
@@ -220,7 +221,7 @@
     const auto now = steadyNow();
     if (result.connectTook_.count() > 0) {
         placer_.noteConnect(target, result.connectTook_);
-        // The pool had run out; where a connection takes long, have one more than is in use.
+        // The pool had no idle connection. If connecting is slow, open one more than is in use.
         if (result.connectTook_ >= dearConnection && !target.isPreparing_) {
             options.control_ = nullptr;
             options.maySend_ = nullptr;
@@ -232,7 +233,7 @@
     }
     if (result.stage_ != Http::ExchangeStage::NotConnected)
         ++job.attempts_;
-    // A new connection's round trip says nothing of the target's work.
+    // The connect time is not part of the target's processing time.
     const auto took = std::chrono::duration_cast<Microseconds>(now - sentAt) - result.connectTook_;
     Attempt attempted = judge(job, placement, sentAt, std::move(result));
     if (attempted.answer_)
@@ -277,14 +278,15 @@
     const auto left = std::chrono::duration_cast<Milliseconds>(job.deadline_ - now);
     message.set(viewOf(port_.headers_.timeLeft_),
                 std::to_string(std::max<long long>(1, left.count())));
-    // An address may by now belong to another target, which must not run the request.
+    // Another target may have taken over the address; it must not run the request.
     message.set(viewOf(port_.headers_.expectedTarget_), target.record_.id_.value());
     message.keep_alive(true);
     message.prepare_payload();
     return message;
 }
 
-/// What became known since the target was chosen counts until the first byte is sent.
+/// Rechecked until the first byte is sent, because the target may leave or be drained after it was
+/// chosen.
 bool Dispatcher::maySendTo(const TargetState &target) const
 {
     return target.takesWork() && !knowledge_.drained().contains(target.record_.domain_);
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -7,7 +7,7 @@
 
 namespace Steering {
 
-/// What became of the requests that came to this instance.
+/// Outcomes of the requests that this instance received.
 struct DispatchCounters
 {
     std::uint64_t requests_ = 0;
@@ -17,7 +17,7 @@
     std::uint64_t retried_ = 0;
     std::uint64_t abandoned_ = 0;
     std::uint64_t refusedByTargets_ = 0;
-    /// Attempts whose target left, or was drained, before the first byte was sent, or the last.
+    /// Attempts whose target left or was drained before the request was sent completely.
     std::uint64_t withdrawn_ = 0;
     std::uint64_t foreignAnswers_ = 0;
     std::uint64_t toHome_ = 0;
@@ -27,7 +27,7 @@
     std::map<Model::RouteId, Observe::DurationSummary> latency_;
 };
 
-/// Carries callers' requests to targets and their answers back.
+/// Forwards callers' requests to targets and returns the answers.
 ///
 /// Thread safety: none; runs on one thread's io_context.
 class Dispatcher
@@ -37,37 +37,38 @@
                const Knowledge &knowledge, Placer &placer, CrashGuard &guard,
                Observe::DecisionLog &log);
 
-    /// Answers one request of a caller.
+    /// Answers one caller's request.
     Http::Task<Http::Response> answer(Http::IncomingRequest incoming);
 
-    /// Ends the attempts of requests whose callers have left, where they may be repeated.
+    /// Cancels the attempts of idempotent requests whose callers have disconnected.
     ///
-    /// What goes wrong without it: under overload callers leave, targets go on working for nobody,
-    /// and the slots that would serve those who stayed are taken.
+    /// Without it, under overload, targets keep processing requests whose callers have
+    /// disconnected, and these take the slots that the remaining callers need.
     void sweepAbandoned();
 
-    /// Sets how many instances share the budget of second attempts.
+    /// Sets how many instances share the retry budget.
     void setInstances(std::size_t instances) { instances_ = std::max<std::size_t>(1, instances); }
 
-    /// Sets what tells when the targets' rows were last confirmed.
+    /// Sets the function that returns when the targets' rows were last confirmed.
     void setTargetsNews(std::function<TargetsNews()> news) { targetsNews_ = std::move(news); }
 
-    /// Opens a new connection to each far target that is in use and whose idle connections are
-    /// about to be too old. Policy::isSpareWorthwhile() tells what goes wrong without it.
+    /// Opens a new connection to each remote target that is in use and whose idle connections are
+    /// about to expire. Policy::isSpareWorthwhile() gives the reason.
     void refreshSpares(const TargetBook &book);
-    /// Closes idle connections to \a addresses, at which other runs of targets listen by now.
+    /// Closes idle connections to \a addresses, at which other incarnations of targets now listen.
     ///
-    /// What goes wrong without it: a request that must not repeat is sent on a connection to a run
-    /// that is gone, nothing comes back, and the caller is told that it may have run.
+    /// Without it, a non-idempotent request is sent on a connection to an incarnation that has
+    /// ended, no answer arrives, and the caller is told that the request may have run.
     void dropIdleConnections(const std::vector<Model::Address> &addresses);
-    /// Closes idle connections to every target: after a standstill they may be long dead.
+    /// Closes idle connections to every target: after a pause of this process the targets may have
+    /// closed them.
     void dropAllIdleConnections(const TargetBook &book);
 
     std::size_t inProgress() const { return jobs_.size(); }
     const DispatchCounters &counters() const { return counters_; }
 
 private:
-    /// What one attempt came to.
+    /// The result of one attempt.
     struct Attempt
     {
         Policy::Outcome outcome_ = Policy::Outcome::NotRun;
--- a/Libraries/LibSteering/DispatcherOutcomes.cpp
+++ b/Libraries/LibSteering/DispatcherOutcomes.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/// Targets that are tried where none could be reached: what never left counts against no budget.
-/// Half of a failure domain may be down at once, so two tries often meet two dead ones.
+/// Targets tried while none can be reached: a request that was never sent counts against no budget.
+/// Half of a failure domain may be down at once, so two tries often reach two failed targets.
 constexpr std::size_t mostTries = 4;
 
 SteadyTime steadyNow()
@@ -74,7 +74,7 @@
                                  ? Policy::outcomeOf(Policy::AttemptStage::Sent)
                                  : Policy::outcomeOf(Policy::AttemptStage::NotConnected);
         const bool isSilent = result.code_ == ResultCode::TargetTimeout;
-        // An attempt that was broken off says nothing; another request may probe.
+        // A cancelled attempt proves nothing about reachability; another request may probe.
         target.reachability_.isProbed_ = false;
         if (result.isWithdrawn_) {
             attempted.isWithdrawn_ = true;
@@ -116,7 +116,7 @@
         }
         return attempted;
     }
-    // A failure of the target's own says little of what it did with the request.
+    // A 5xx response does not prove that the target processed the request.
     if (status < http::status::internal_server_error)
         guard_.noteAnswered(job, now);
     attempted.outcome_ = Policy::outcomeOf(Policy::AttemptStage::Answered);
--- a/Libraries/LibSteering/Job.h
+++ b/Libraries/LibSteering/Job.h
@@ -9,7 +9,7 @@
 
 namespace Steering {
 
-/// One request on its way through this instance.
+/// State of one request while this instance handles it.
 struct Job
 {
     Http::IncomingRequest incoming_;
@@ -23,43 +23,44 @@
     Model::SteadyTime arrivedAt_;
     /// The earlier of the caller's own deadline and the route's timeout.
     Model::SteadyTime deadline_;
-    /// Targets to which it was sent; how many of them may have worked on it.
+    /// Targets that were tried; attempts_ counts those that may have processed the request.
     std::vector<Model::TargetId> tried_;
     int attempts_ = 0;
-    /// With what status a target last turned it away; zero if none did.
+    /// HTTP status with which a target last rejected the request; zero if none did.
     unsigned turnedAwayWith_ = 0;
     Http::ExchangeControl control_;
     bool isAbandoned_ = false;
-    /// Made when they are first needed.
+    /// Computed on first use.
     std::optional<std::uint32_t> head_;
     std::optional<Policy::RequestPrint> print_;
-    /// It holds the instance's one place for requests under which targets ended.
+    /// Holds the instance's only slot for serialized probes, that is, for requests suspected of
+    /// crashing targets.
     bool isOnTrial_ = false;
 };
 
-/// Returns the head of the request's print, and the print. \a names are the platform's.
+/// Return the request's fingerprint prefix and its fingerprint. \a names are the platform's.
 /// Thread safety: \a job belongs to the calling thread.
 std::uint32_t headOf(Job &job, const HeaderNames &names);
 const Policy::RequestPrint &printOf(Job &job, const HeaderNames &names);
 
-/// Where a request goes, and what that rests on.
+/// The target chosen for a request, and the basis of the choice.
 struct Placement
 {
     std::shared_ptr<TargetState> target_;
     bool isHome_ = false;
     bool isHomeOfOthers_ = false;
-    /// This entry has sent the object there before.
+    /// This entry has recently sent the object there, so the target is expected to have it loaded.
     bool isKnownWarm_ = false;
     double load_ = 0;
     Model::Microseconds expected_{0};
-    /// A sound target takes no longer than this.
+    /// Upper bound of the time that a healthy target takes.
     Model::Microseconds latestUsual_{0};
 };
 
-/// An instance that does not know the table or the targets yet expects them within this time.
+/// Time within which an instance expects to receive the table and the targets after its start.
 constexpr Model::Milliseconds comeBackWhenReady{300};
 
-/// Why a request is not sent anywhere now, and when to ask again.
+/// Why a request is not sent to any target, and when the caller may retry.
 struct Refusal
 {
     Model::ResultCode code_ = Model::ResultCode::OverCapacity;
--- a/Libraries/LibSteering/Placer.cpp
+++ b/Libraries/LibSteering/Placer.cpp
@@ -11,15 +11,15 @@
 
 namespace {
 
-/// Until a connection was made to a region: what failure domains of one region and regions of one
-/// continent usually have between them.
+/// Round trips assumed before the first connection to a region: the usual ones between failure
+/// domains of one region, and between regions of one continent.
 constexpr Microseconds firstRoundTripNear{2000};
 constexpr Microseconds firstRoundTripFar{60000};
 
-/// How often the use of a service's slots is counted: a load takes several times as long.
+/// Interval at which a service's slot use is counted; a cold load takes several times as long.
 constexpr Milliseconds slotCountPause{100};
 
-/// When to ask again where no target takes work at all: news of a target takes about so long.
+/// Retry delay if no target takes work: an update about a target takes about this long to arrive.
 constexpr Milliseconds comeBackWithoutTarget{500};
 
 } // namespace
@@ -110,7 +110,7 @@
         return false;
     if (!target.isCold(now))
         return true;
-    // What a cold target bears is shared out among the entries of its own region.
+    // A cold target's rate limit is divided among the entries of its region only.
     const bool isOthers = target.region_ != ownRegion_ && target.region_ < entries_.size()
                           && entries_[target.region_] > 0;
     const auto *service = job.table_->service(job.service_);
@@ -209,7 +209,7 @@
 {
     const Owners owners = ownersAmong(job, targets, now);
     const auto &others = workOf(*job.route_, job.service_).othersWarmth_;
-    // What the first owner cannot take for long is the second one's.
+    // If the first owner stays full, the second one takes the excess.
     const bool isFirstFull
         = owners.first_ && Policy::isLastinglyFull((*owners.first_)->sharedLoad_, now);
     const auto add = [&](const std::shared_ptr<TargetState> &target, bool isOwner) {
@@ -239,7 +239,7 @@
         if (targets.byDomain_[i].empty() || !isAllowed(*job.route_, i))
             continue;
         const bool isHome = i == view.home_;
-        // Callers near that domain may send the object there too.
+        // Callers close to that domain may also send the object there.
         const bool isHomeOfOthers = Policy::homeOf(view.draws_, targets.homes_[i]) == i;
         addOwners(job, targets.byDomain_[i], isHome, isHomeOfOthers, now);
     }
@@ -258,7 +258,7 @@
         inHomeRegion += candidates_[i].leavesHomeRegion_ ? 0 : 1;
     }
     const auto *service = job.table_->service(job.service_);
-    // Where nobody is left in the home region, going elsewhere is the only way to be served.
+    // If the home region has no candidate, the request can only be served in another region.
     if (inHomeRegion == 0 || !service || Policy::maySpill(spill_, service->regionShiftCap_, now))
         return;
     std::size_t kept = 0;
--- a/Libraries/LibSteering/Placer.h
+++ b/Libraries/LibSteering/Placer.h
@@ -8,7 +8,7 @@
 
 namespace Steering {
 
-/// Chooses a target for each request from what the instance knows.
+/// Chooses a target for each request from the instance's state.
 ///
 /// Thread safety: none; belongs to one thread.
 class Placer
@@ -18,47 +18,47 @@
 
     /// Sets, for each of the table's regions, how many entries run there.
     void setEntries(std::vector<std::size_t> entries) { entries_ = std::move(entries); }
-    /// Takes in that another table is in force.
+    /// Applies a change of the table.
     void tableChanged();
 
-    /// Decides which service takes the request, by the weights of its route.
+    /// Chooses the service for a request by its route's weights.
     Model::ServiceId chooseService(const Model::Route &route);
 
-    /// Chooses a target for the next attempt of \a job, or says why there is none.
+    /// Chooses a target for the next attempt of \a job, or returns why there is none.
     std::variant<Placement, Refusal> place(const Job &job, Model::SteadyTime now);
 
-    /// Takes in an answer or a failure of the target that a request was placed on.
+    /// Records an answer or a failure of the target that a request was placed on.
     void noteAnswer(const Job &job, const Placement &placement, Model::Microseconds took,
                     Model::SteadyTime now);
     void noteFailure(const Placement &placement, Model::SteadyTime now);
-    /// Takes in that nothing came back of a request that was sent at \a sentAt, or that none could
+    /// Records that no answer arrived to a request that was sent at \a sentAt, or that it could not
     /// be sent.
     ///
-    /// What goes wrong without it: what a request's loss says against a target fades within
-    /// seconds, then a handful of requests go there at once and are lost too, for as long as the
-    /// target is registered. One that answers nobody is asked by one request at a time.
+    /// Without it, the penalty of a lost request decays within seconds; then several requests go
+    /// there at once and are lost too, for as long as the target is registered. A target that
+    /// answers no request is probed by one request at a time.
     void noteSilence(const Placement &placement, Model::SteadyTime sentAt, bool wasSent,
                      Model::SteadyTime now);
-    /// Returns the round trip to \a target, as it is known for its region. Precondition: the target
+    /// Returns the round trip to \a target as measured for its region. Precondition: the target
     /// takes work.
     Model::Microseconds roundTripTo(const TargetState &target) const
     {
         return roundTrips_[target.region_];
     }
-    /// Returns how long to wait for a new connection to \a target.
+    /// Returns the connect timeout for \a target.
     Model::Milliseconds connectPatienceFor(const TargetState &target) const;
-    /// Takes in how long a new connection to a target took to be made: one round trip.
+    /// Records how long a connection to \a target took to open: one round trip.
     void noteConnect(const TargetState &target, Model::Microseconds took);
 
 private:
-    /// What was learned of a route's requests at one service.
+    /// Statistics on a route's requests at one service.
     struct RouteWork
     {
         Policy::WorkTimes times_;
         Policy::OthersWarmth othersWarmth_;
     };
 
-    /// The part of a service's slots that was taken at a moment.
+    /// The fraction of a service's slots that was in use at a point in time.
     struct SlotUse
     {
         double use_ = 0;
@@ -71,16 +71,16 @@
         std::unordered_map<Model::ServiceId, RouteWork> work_;
     };
 
-    /// How near an object is to each failure domain, and which one is its home.
+    /// An object's draw for each failure domain, and its home domain.
     struct ObjectView
     {
-        /// The least of these, divided by the share, decides.
+        /// The domain with the lowest draw divided by its share is the home domain.
         std::vector<double> draws_;
         std::size_t home_ = 0;
     };
 
-    /// The two targets of a failure domain that rank highest for an object, of those that may take
-    /// it now. Null where there are none.
+    /// The two highest-ranking targets for an object in a failure domain, among those that may take
+    /// it now. Null if there are none.
     struct Owners
     {
         const std::shared_ptr<TargetState> *first_ = nullptr;
@@ -96,9 +96,9 @@
                    bool isHome, bool isHomeOfOthers, Model::SteadyTime now);
     Policy::Candidate candidateFor(const Job &job, const TargetState &target,
                                    Model::SteadyTime now) const;
-    /// Returns the mean time of the service's requests, or zero before any was seen.
+    /// Returns the mean processing time of the service's requests, or zero before the first one.
     Model::Microseconds meanTimeOf(const Model::ServiceId &service) const;
-    /// Returns the part of the service's slots that is taken.
+    /// Returns the fraction of the service's slots that is in use.
     double useOf(const Model::ServiceId &service, const ServiceTargets &targets,
                  Model::SteadyTime now);
     bool isKnownWarm(const Job &job, const TargetState &target, Model::SteadyTime now) const;
@@ -114,13 +114,13 @@
     std::size_t ownDomain_ = 0;
     std::size_t ownRegion_ = 0;
     std::unordered_map<Model::RouteId, RouteState> routes_;
-    /// Mean time of all requests of a service at its targets.
+    /// Mean processing time of all requests of a service at its targets.
     std::unordered_map<Model::ServiceId, double> serviceMeanUs_;
     std::unordered_map<Model::ServiceId, Policy::ObjectMemory> memory_;
     std::unordered_map<Model::ServiceId, SlotUse> use_;
-    /// Round trip to each region, learned from new connections.
+    /// Round trip to each region, measured on new connections.
     std::vector<Model::Microseconds> roundTrips_;
-    /// Filled anew for each request; kept for their memory.
+    /// Refilled for each request; kept to reuse the allocation.
     std::vector<Policy::Candidate> candidates_;
     std::vector<std::shared_ptr<TargetState>> candidateTargets_;
     Policy::SpillMeter spill_;
--- a/Libraries/LibSteering/PlacerLearning.cpp
+++ b/Libraries/LibSteering/PlacerLearning.cpp
@@ -10,13 +10,13 @@
 
 namespace {
 
-/// Weight of one new connection in the round trip to a region.
+/// Weight of one new connection in the moving average of the round trip to a region.
 constexpr double roundTripWeight = 0.2;
 
-/// Weight of one answer in the mean time of a service's requests.
+/// Weight of one answer in the mean processing time of a service's requests.
 constexpr double serviceMeanWeight = 0.02;
 
-/// Objects remembered for each target; targets themselves keep some dozens.
+/// Objects tracked for each target; targets themselves keep a few dozen loaded.
 constexpr std::size_t mostObjects = 256;
 
 } // namespace
@@ -41,7 +41,7 @@
             target.objects_.clear();
         target.objects_[job.object_] = now;
     }
-    // An answer that waited for a slot says nothing of the work alone.
+    // The time of a request that waited for a slot is not its processing time.
     const bool hadSlot = placement.load_ + 1 <= static_cast<double>(target.record_.slots_.value());
     if (!hadSlot || target.isCold(now))
         return;
@@ -72,7 +72,7 @@
 {
     TargetState &target = *placement.target_;
     noteFailure(placement, now);
-    // A single lost answer is the loss of one; a target that answers others meanwhile is there.
+    // One lost answer does not make a target unreachable if it answered another request since.
     const bool hasAnsweredSince = target.answeredAt_ >= sentAt;
     if (!wasSent || !hasAnsweredSince)
         Policy::noteUnreachable(target.reachability_, now);
--- a/Libraries/LibSteering/TargetBook.cpp
+++ b/Libraries/LibSteering/TargetBook.cpp
@@ -32,8 +32,8 @@
 
 namespace {
 
-/// Tells whether \a record is of a later run than the one that said \a held. Where targets do not
-/// say when they started, a count of reports that begins anew shows it.
+/// Returns whether \a record is from a later incarnation than \a held. Targets that do not report
+/// their start time are compared by their report count, which restarts with each incarnation.
 bool isLaterRun(const Model::TargetRecord &record, const Model::TargetRecord &held)
 {
     if (record.incarnation_ != held.incarnation_)
@@ -42,7 +42,7 @@
     return isUntold && record.reports_ < held.reports_;
 }
 
-/// Tells whether \a target registered itself after \a other, another one at the same address.
+/// Returns whether \a target registered after \a other, a different target at the same address.
 bool isAfter(const TargetState &target, const TargetState &other)
 {
     const auto began = target.record_.incarnation_;
@@ -78,8 +78,8 @@
             .add("target", record.id_.value())
             .add("in_progress", target->ownInFlight_);
     }
-    // Requests that are still at the earlier run keep its state, so that nothing that they learn
-    // counts for the new one.
+    // Requests that are still in progress at the earlier incarnation keep its state, so that their
+    // results are not attributed to the new one.
     if (!target || isRestarted) {
         target = std::make_shared<TargetState>();
         target->seed_ = Policy::seedOf(record.id_.value());
@@ -117,14 +117,14 @@
     const bool wasLeaving = target->record_.isLeaving_;
     const bool wasCold = target->isCold(now);
     target->record_ = *record;
-    // One run that was leaving does not come back, whatever an older row says.
+    // An incarnation that is leaving stays so, even if an older row arrives later.
     target->record_.isLeaving_ = record->isLeaving_ || wasLeaving;
     target->revision_ = row.revision_;
     target->isNamed_ = true;
     target->removed_.reset();
     if (record->coldFor_.count() > 0) {
         target->coldUntil_ = now + record->coldFor_;
-        // A cold target has lost what it kept of its objects.
+        // A cold target has lost its loaded objects.
         target->objects_.clear();
         if (!wasCold)
             Policy::startRamp(target->ramp_, now);
@@ -141,12 +141,12 @@
         logLeave(*target, "announced", row.revision_, now);
 }
 
-/// Of several targets that are registered at one address, the last one is there.
+/// If several targets are registered at one address, the last one to register listens there.
 ///
-/// What goes wrong without it: targets crash and come back at their addresses under other ids; the
-/// old registrations last for seconds more, and each instance learns only by a refusal of its own
-/// that nobody of that id is there. The refusals use up the retries of all, and callers are refused
-/// beside free slots.
+/// Without this, when targets crash and restart at their addresses under other ids, the old
+/// registrations last for seconds more, and each instance learns only from a rejected request of
+/// its own that no target of that id listens there. The rejections exhaust the retry budget, and
+/// callers are refused while slots are free.
 void TargetBook::findSuccessors()
 {
     std::map<Model::Address, std::shared_ptr<const TargetState>> latest;
--- a/Libraries/LibSteering/TargetBook.h
+++ b/Libraries/LibSteering/TargetBook.h
@@ -17,7 +17,7 @@
 struct SentRequest
 {
     Model::SteadyTime at_;
-    /// A sound target answers within this.
+    /// A healthy target answers within this time.
     Model::Microseconds latestUsual_{0};
 };
 
@@ -26,11 +26,12 @@
 {
     /// The store answered a call for them.
     Model::SteadyTime fromStore_ = Model::longAgo;
-    /// A peer spoke, and no living peer was known to know newer rows.
+    /// A peer sent an update, and no live peer was known to have a newer revision.
     Model::SteadyTime fromPeers_ = Model::longAgo;
 };
 
-/// The last request that was sent to a target, and by what knowledge of the targets.
+/// The last request that was sent to a target, and the revision and freshness of the target rows at
+/// that time.
 struct LastSend
 {
     std::string request_;
@@ -39,19 +40,19 @@
     TargetsNews news_;
 };
 
-/// One run of a target with what this instance has seen of it.
+/// One incarnation of a target, with the local observations of it.
 struct TargetState
 {
     Model::TargetRecord record_;
     Platform::Revision revision_;
     /// The revision of its registration when it was first seen here.
     Platform::Revision firstRevision_;
-    /// Indexes into the table's domains and regions; where the table has none, the target is not
+    /// Indexes into the table's domains and regions; a target whose domain the table lacks is not
     /// used.
     std::size_t domain_ = 0;
     std::size_t region_ = 0;
     bool hasPlace_ = false;
-    /// A number that ranks the target among others, the same on every instance.
+    /// Seed of the target's rank among others; the same on every instance.
     std::uint64_t seed_ = 0;
 
     std::int64_t ownInFlight_ = 0;
@@ -65,36 +66,36 @@
     Policy::ColdRamp ramp_;
     Model::SteadyTime coldUntil_;
     Policy::Reachability reachability_;
-    /// When it last answered anything.
+    /// When it last answered any request.
     Model::SteadyTime answeredAt_ = Model::longAgo;
     Policy::TargetUse use_;
-    /// A spare connection is being opened.
+    /// An idle connection is being opened in advance.
     bool isPreparing_ = false;
-    /// Its registration can be read; one that somebody else wrote over names no target.
+    /// Its registration can be read; one that another writer has overwritten names no target.
     bool isNamed_ = true;
-    /// It said itself that it is another run than the one that was asked for.
+    /// It answered that it is another incarnation than the expected one.
     bool isReplaced_ = false;
-    /// The one that registered itself at the same address later, if there is one.
+    /// The target that later registered at the same address; null if there is none.
     std::shared_ptr<const TargetState> successor_;
-    /// It was dropped from the book; requests that have chosen it before hold it still.
+    /// It was removed from the registry; requests that chose it earlier may still hold it.
     bool isDropped_ = false;
-    /// Its registration is gone, and may only have lapsed.
+    /// Set if its registration was removed, which may be only an expiry.
     std::optional<Policy::RemovedRegistration> removed_;
-    /// Requests whose connections broke before it was known whether it ended, and when the last one
-    /// did.
+    /// Requests whose connections broke before it was known whether the target ended, and when the
+    /// last one broke.
     std::vector<Policy::RequestPrint> lost_;
     Model::SteadyTime lostAt_ = Model::longAgo;
-    /// It is being asked whether it still listens.
+    /// A probe of whether it still listens is in progress.
     bool isKnockedAt_ = false;
-    /// Nothing listens at its address any more.
+    /// No process listens at its address any more.
     bool hasEnded_ = false;
-    /// When each object was sent here last.
+    /// When each object was last sent here.
     std::unordered_map<std::uint64_t, Model::SteadyTime> objects_;
 
     bool isCold(Model::SteadyTime now) const { return now < coldUntil_; }
-    /// Another one registered itself at its address, and none said there that it is not that one.
+    /// Another target registered at its address, and has not answered that it is a different one.
     bool isSucceeded() const { return successor_ && !successor_->isReplaced_; }
-    /// It may get new work, as far as registrations and its own word say.
+    /// Returns whether registrations and its own answers permit sending it new requests.
     bool takesWork() const
     {
         return hasPlace_ && isNamed_ && !record_.isLeaving_ && !isReplaced_ && !isDropped_
@@ -102,7 +103,8 @@
     }
 };
 
-/// The targets of one service, and where the objects of its callers have their homes.
+/// The targets of one service, and the shares of the failure domains as home domains of its
+/// callers' objects.
 struct ServiceTargets
 {
     /// By index of the table's domains.
@@ -110,7 +112,7 @@
     Policy::HomeShares homes_;
 };
 
-/// All targets that are known, with what this instance has seen of them.
+/// All known targets, with the local observations of them.
 ///
 /// Thread safety: none; belongs to one thread.
 class TargetBook
@@ -118,29 +120,30 @@
 public:
     TargetBook(const PlatformPort &port, const Knowledge &knowledge, Observe::DecisionLog &log);
 
-    /// Brings the book in line with what is known.
+    /// Updates the registry from the platform state.
     void update(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
 
-    /// Drops targets whose registration is missing and not expected back any more, and takes in
-    /// which ones said that they are replaced. Returns whether any was dropped.
+    /// Drops targets whose missing registration is no longer expected to return, and applies which
+    /// targets answered that they are replaced. Returns whether any target was dropped.
     bool dropMissing(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
 
-    /// Returns the addresses at which another run listens since the last call: what was connected
-    /// to the earlier runs leads nowhere.
+    /// Returns the addresses at which another incarnation has started to listen since the last
+    /// call. Connections to the earlier incarnations are dead.
     std::vector<Model::Address> takeRestarted() { return std::exchange(restarted_, {}); }
 
     /// Returns the targets of \a service, or nullptr.
     const ServiceTargets *service(const Model::ServiceId &service) const;
 
-    /// Returns what other instances should hear of the targets' loads.
+    /// Returns the target loads to send to other instances.
     std::vector<Policy::TargetLoad> loadsToTell(Model::SteadyTime now) const;
-    /// Takes in what another instance told; loads of unknown targets are ignored.
+    /// Records the loads that another instance sent; loads of unknown targets are ignored.
     void hearLoads(const std::vector<Policy::TargetLoad> &loads, Model::SteadyTime now);
 
-    /// Returns how long ago registrations were found to be gone, here or at a peer, where that was
-    /// lately.
+    /// Returns how long ago registrations were found to be removed, locally or at a peer. Covers
+    /// recent removals only.
     RemovalAges removalsToTell(Model::SteadyTime now) const;
-    /// Takes in what a peer told of that, before what it knows of the targets is taken in.
+    /// Records the removal ages that a peer sent. Precondition: the peer's target rows have not
+    /// been applied yet.
     void hearRemovals(const RemovalAges &ages, Model::SteadyTime now);
 
     const std::map<Model::TargetId, std::shared_ptr<TargetState>> &all() const { return targets_; }
@@ -155,7 +158,7 @@
     std::shared_ptr<TargetState> stateFor(const Model::TargetRecord &record);
     void findSuccessors();
     void noteMissing(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
-    /// Forgets when registrations went that are back, or went long ago.
+    /// Forgets the removal times of registrations that have returned, and old ones.
     void forgetRemovals(Model::SteadyTime now);
     void findPlace(TargetState &target) const;
     void arrange();
@@ -168,12 +171,12 @@
     /// Rows that cannot be read, by key, so that each is logged once.
     std::map<std::string, Platform::Revision> unreadable_;
     std::vector<Model::Address> restarted_;
-    /// When registrations were first found to be gone, here or at a peer.
+    /// When registrations were first found to be removed, locally or at a peer.
     std::map<Model::TargetId, Model::SteadyTime> removals_;
-    /// How many targets had said that they are replaced when services were arranged.
+    /// Number of replaced targets when services_ was last rebuilt.
     std::size_t replaced_ = 0;
     std::unordered_map<Model::ServiceId, ServiceTargets> services_;
-    /// The targets that take work, by the name that they have in TargetLoad.
+    /// The targets that take work, by their short name in TargetLoad.
     std::unordered_map<std::uint32_t, std::shared_ptr<TargetState>> byShortName_;
     std::vector<std::uint64_t> domainSeeds_;
 };
--- a/Libraries/LibSteering/TargetRemovals.cpp
+++ b/Libraries/LibSteering/TargetRemovals.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How long it is remembered when a registration was found to be gone: news takes less time.
+/// How long the time of a removal is kept; updates spread between instances in less time.
 constexpr Model::Milliseconds removalMemory{10000};
 
 const char *nameOf(Policy::StoreContact contact)
@@ -25,7 +25,7 @@
     return "not asked";
 }
 
-/// The milliseconds from \a then to \a now; -1 where \a then never was.
+/// Returns the milliseconds from \a then to \a now, or -1 if \a then is unset.
 std::int64_t msSince(SteadyTime then, SteadyTime now)
 {
     if (then == Model::longAgo)
@@ -35,8 +35,8 @@
 
 } // namespace
 
-/// Tells what was known of the targets when the last request was sent to one that leaves: whether a
-/// request was sent by late news, or in spite of it, shows in this line alone.
+/// Logs which target rows were known when the last request was sent to a leaving target. Only this
+/// line shows whether the update came too late or was disregarded.
 void TargetBook::logLeave(const TargetState &target, const char *how, Platform::Revision revision,
                           SteadyTime now)
 {
