--- a/Tests/LibSteering/FakePlatform.h
+++ b/Tests/LibSteering/FakePlatform.h
@@ -8,11 +8,11 @@
 
 namespace Fakes {
 
-/// A platform without a network: rows are plain text, and whoever tests feeds them in.
+/// A platform without a network: rows are plain text, supplied by the test.
 ///
-/// An operators' row holds the table's text form, "version NUMBER" on its first line; a row whose
-/// key begins with "drain " drains a failure domain. A target's row holds
-/// "service domain address slots state cold_ms" and, where it matters, " incarnation reports".
+/// An operators' row holds the table's text form, with "version NUMBER" on its first line; a row
+/// whose key begins with "drain " drains a failure domain. A target's row holds "service domain
+/// address slots state cold_ms" and, optionally, " incarnation reports".
 Steering::PlatformPort port();
 
 /// Settings of an instance in \a domain of a site of three regions r, s, t with two domains each.
@@ -32,7 +32,7 @@
                            const std::string &domain, std::uint64_t revision,
                            const std::string &state = "ready", int coldMs = 0, int slots = 4);
 
-/// Everything that an instance knows and decides with, without its network.
+/// The state and the decision logic of an instance, without its network.
 struct Brain
 {
     explicit Brain(const std::string &domain);
@@ -42,11 +42,11 @@
     void tellTargets(std::uint64_t revision, std::vector<Platform::StoredRow> list);
     void update();
 
-    /// From now on the store does not answer this instance.
+    /// Makes the store refuse this instance.
     void loseStore() { evidence_.own_.contact_ = Policy::StoreContact::Refused; }
-    /// From now on it does; the last call failed just before.
+    /// Makes the store answer again; the previous call failed immediately before.
     void regainStore();
-    /// Drops targets that are not expected back any more.
+    /// Drops targets whose registration is no longer expected to return.
     bool dropMissing() { return book_.dropMissing(now_, evidence_); }
 
     Observe::Settings settings_;
@@ -59,7 +59,7 @@
     Policy::StoreEvidence evidence_{{.contact_ = Policy::StoreContact::Reached}, {}};
 };
 
-/// A request for \a object on a route ("read" or "order") that came in just now.
+/// Returns a request for \a object on a route ("read" or "order") that has just arrived.
 Steering::Job job(const Brain &brain, const std::string &route, std::uint64_t object);
 
 } // namespace Fakes
--- a/Tests/LibSteering/LoadedTargets.cpp
+++ b/Tests/LibSteering/LoadedTargets.cpp
@@ -27,11 +27,11 @@
     std::int64_t slots_ = 1;
     std::int64_t running_ = 0;
     std::deque<Work> waiting_;
-    /// The ones that it keeps, the latest first.
+    /// The loaded objects, most recently used first.
     std::list<std::uint64_t> objects_;
     std::string region_;
 
-    /// Returns whether the object was there; it is from now on.
+    /// Loads an object, and returns whether it was already loaded.
     bool use(std::uint64_t object, std::size_t keeps)
     {
         const bool wasThere = std::erase(objects_, object) > 0;
--- a/Tests/LibSteering/TestDispatcher.cpp
+++ b/Tests/LibSteering/TestDispatcher.cpp
@@ -9,7 +9,7 @@
 namespace http = Http::http;
 
 /// Two targets in r-a that answer every request, and a dispatcher that sends to them, all on one
-/// thread: what happens between two of its steps is up to the test.
+/// thread, so that the test controls what happens between two steps of the dispatcher.
 struct Bench
 {
     Bench()
@@ -47,7 +47,8 @@
                           revision);
     }
 
-    /// Begins a request: its target is chosen and a connection to it is being opened.
+    /// Starts a request, and returns once its target is chosen and a connection to it is being
+    /// opened.
     void begin()
     {
         Http::IncomingRequest incoming;
@@ -69,7 +70,7 @@
         answer_ = co_await dispatcher_.answer(std::move(incoming));
     }
 
-    /// The target to which the request is on its way.
+    /// Returns the target that was chosen for the request, or an empty string.
     std::string chosen() const
     {
         for (const auto &[id, target] : brain_.book_.all()) {
@@ -116,8 +117,8 @@
         CPPUNIT_ASSERT(bench.answer_->result() == http::status::ok);
     }
 
-    // Guards against requests that are sent to a target after its leave became known, since they
-    // had chosen it before and waited for a connection.
+    // Guards against sending a request to a target that is known to be leaving, because the target
+    // was chosen earlier and the request was waiting for a connection.
     void requestThatWaitsForAConnectionIsNotSentToATargetThatLeaves()
     {
         Bench bench;
@@ -140,7 +141,8 @@
         assertSentElsewhere(bench, left);
     }
 
-    // The same for a failure domain that an operator drains: nobody else may serve it either.
+    // The same for a failure domain that an operator drains; no target is left to serve the
+    // request.
     void requestThatWaitsForAConnectionIsNotSentToADrainedDomain()
     {
         Bench bench;
--- a/Tests/LibSteering/TestLoads.cpp
+++ b/Tests/LibSteering/TestLoads.cpp
@@ -13,10 +13,10 @@
 
 constexpr Milliseconds goal{400};
 constexpr Milliseconds length{20000};
-/// Objects of one kind of request, as many as our users' largest.
+/// Objects of one kind of request; the largest known deployment has this many.
 constexpr std::uint64_t objects = 76;
 
-/// Three regions with 2, 12 and 14 targets of six slots, an entry in each region.
+/// Three regions with 2, 12 and 14 targets of six slots, and one entry in each region.
 class LopsidedSite
 {
 public:
@@ -52,8 +52,8 @@
     std::vector<std::unique_ptr<Brain>> entries_;
 };
 
-/// Requests at random moments and for random objects, as many from each region; \a perSecond of
-/// all regions together. The same in every run.
+/// Returns requests at random times for random objects, evenly spread over the regions, at \a
+/// perSecond for all regions together. The result is the same in every run.
 std::vector<PlayedRequest> evenLoad(double perSecond)
 {
     std::mt19937_64 random(17);
@@ -82,9 +82,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Pattern: a third of the callers in a region with a fourteenth of the slots.
-    // Grounds: 500 requests a second of 144 ms fill 72 of 168 slots; the poor region's own 12 would
-    // get 24 of them. A far target answers after 254 ms, inside the goal of 400.
+    // A third of the callers is in a region with a fourteenth of the slots. 500 requests per second
+    // of 144 ms fill 72 of 168 slots; served locally, the poor region's 12 slots would get 24 of
+    // these. A remote target answers after 254 ms, within the goal of 400 ms.
     void callersOfThePoorRegionFareLikeTheOthers()
     {
         const LopsidedSite site;
@@ -106,11 +106,10 @@
         CPPUNIT_ASSERT_MESSAGE(message, parts[0] > parts[2] - 0.08);
     }
 
-    // Symptom: after a target lost power, a part of all requests hangs for seconds.
-    // Sequence: it answers nothing any more; its registration stays for a few seconds.
-    // Cause: learning of a target only from its answers.
-    // Grounds: it owns some six of 76 objects, 13 requests a second of each region's 167; without
-    // the judgement by silence all of them would be lost in 20 s.
+    // Guards against requests that hang for seconds after a target lost power: it stops answering,
+    // but its registration stays for a few seconds. This happens if a target is judged only by its
+    // answers. The target owns about 6 of 76 objects, which is 13 of each region's 167 requests per
+    // second; without detection by missing answers, all of them are lost for 20 s.
     void darkTargetCostsFewRequests()
     {
         const LopsidedSite site;
@@ -124,9 +123,8 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(lost), lost > 0 && lost < 90);
     }
 
-    // Pattern: a target that works five times as long, as with a failing disk.
-    // Grounds: at its usual part of a twelfth of its region's requests it would need twice its
-    // slots.
+    // A target takes five times as long for each request, as with a failing disk. With its usual
+    // twelfth of its region's requests it would need twice its slots.
     void slowTargetLosesMostOfItsRequests()
     {
         const auto requests = evenLoad(400);
@@ -145,10 +143,9 @@
         CPPUNIT_ASSERT(now > 0);
     }
 
-    // Pattern: twice the requests that all slots carry.
-    // Grounds: 168 slots do 1166 warm requests of 144 ms in a second. What is taken must be of use:
-    // half of the load is served in time or a little late, and no answer takes as long as the
-    // caller waits.
+    // The load is twice the capacity: 168 slots serve 1166 warm requests of 144 ms per second.
+    // Admitted requests must be useful: half of the load is served in time or slightly late, and no
+    // answer takes longer than the caller waits.
     void overloadIsRefusedAtOnceAndTheRestIsInTime()
     {
         const LopsidedSite site;
@@ -169,14 +166,15 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(inTime), inTime > 0.2);
     }
 
-    // Symptom: one request in eight is late long after a burst has gone, though the slots would do.
-    // Sequence: a third of a service's targets left; a burst makes requests stray; each stray
-    // pushes another object out of a target that keeps twelve, and that one is loaded again later.
-    // Cause: what was sent somewhere once is taken to be there for ever, and a load costs the same
-    // however full the service is.
-    // Pattern: 72 objects at eight targets of three slots, 90 requests a second and for three
-    // seconds 300. Grounds: 90 a second of 192 ms take 17 of 24 slots; each target is the owner of
-    // nine objects, so three strays fit in beside them. 0.87 were in time with free strays.
+    // Guards against one request in eight being late long after a burst has ended, although there
+    // are enough slots. A third of a service's targets left, and a burst sends requests off-owner.
+    // Each of these evicts another object from a target that keeps twelve, and the evicted object
+    // is loaded again later. This happens if an object sent to a target once is considered loaded
+    // there forever, and if a cold load has the same cost however full the service is.
+    // The load is 72 objects at eight targets of three slots, with 90 requests per second and 300
+    // for three seconds. 90 per second of 192 ms take 17 of 24 slots; each target owns nine
+    // objects, so that three off-owner ones fit in beside them. Without a cost for off-owner
+    // requests, 0.87 are in time.
     void serviceThatLostTargetsRecoversFromABurst()
     {
         std::vector<Platform::StoredRow> list;
@@ -208,15 +206,13 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(inTime), inTime > 0.9);
     }
 
-    // Symptom: some owners are full all day, and a request waits there for longer than it works
-    //   while second owners have free slots.
-    // Sequence: none; in a fleet of 600 entries an object is asked for more often than its owner
-    // can
-    //   serve, and each entry hears from that one every ten seconds.
-    // Cause: an entry that believes only what a target told it, and that lately, takes all for
-    // idle. Pattern: 8 targets of six slots, work of 144 ms; 50 requests a second for one object,
-    // 80 for
-    //   forty others. An owner serves 41 a second.
+    // Guards against owners that stay full all day, where a request waits longer than its
+    // processing takes, while secondary owners have free slots. In a fleet of 600 entries an object
+    // is requested more often than its owner can serve, and each entry gets an answer from that
+    // owner only every ten seconds. An entry that relies only on loads that a target reported to it
+    // directly and recently considers all targets idle.
+    // The load is 50 requests per second for one object and 80 for forty others, at 8 targets of
+    // six slots with a processing time of 144 ms. An owner serves 41 per second.
     void ownerOfWhatAllAskForIsRelievedInALargeFleet()
     {
         const double told = inTimeWithAHotObject(Milliseconds(200));
@@ -259,8 +255,8 @@
         return Fakes::servedWithin(results, results.size() / 3, results.size(), goal);
     }
 
-    /// 90 requests a second of six entries' callers, 300 from 4 s to 7 s; each
-    /// region's callers ask for 24 objects of their own.
+    /// Returns 90 requests per second from the callers of six entries, and 300 from 4 s to 7 s.
+    /// Each region's callers request 24 objects of their own.
     static std::vector<PlayedRequest> burst()
     {
         std::mt19937_64 random(23);
--- a/Tests/LibSteering/TestPlacer.cpp
+++ b/Tests/LibSteering/TestPlacer.cpp
@@ -10,7 +10,8 @@
 using Steering::Placement;
 using Steering::Refusal;
 
-/// 1, 6 and 7 targets in each domain of regions r, s, t: one region is poor, as at our users.
+/// Returns 1, 6 and 7 targets in each domain of regions r, s, t: one region has few targets, as in
+/// real deployments.
 std::vector<Platform::StoredRow> lopsided()
 {
     std::vector<Platform::StoredRow> list;
@@ -92,8 +93,8 @@
         int moved = 0;
         for (std::uint64_t object = 0; object < 600; ++object)
             moved += placedAt(brain, object) != before[object] ? 1 : 0;
-        // A twelfth loses its owner, and the newcomer wins a twelfth: two twelfths together, or
-        // less.
+        // A twelfth of the objects loses its owner and the new target gains a twelfth: at most two
+        // twelfths in total.
         CPPUNIT_ASSERT(moved < 600 * 2 / 12 + 30);
     }
 
@@ -109,9 +110,9 @@
         CPPUNIT_ASSERT(first.target_ != second.target_);
     }
 
-    // Symptom: a cold target gets several times the rate that it bears and crashes.
-    // Sequence: it registers; the entries of three regions each send it their part.
-    // Cause: a limit shared out among the entries of one region, used by those of others too.
+    // Guards against a cold target that gets several times its rate limit and crashes. After it
+    // registers, the entries of three regions each send it their share of a limit that is divided
+    // among the entries of one region only.
     void coldTargetsOfOtherRegionsAreLeftToTheirEntries()
     {
         Brain brain("r-a");
@@ -135,7 +136,7 @@
         CPPUNIT_ASSERT(refusal.comeBack_ > Milliseconds(0));
     }
 
-    // Guards against telling callers that no target takes work before any target is known.
+    // Guards against refusing requests with NoTarget before any target is known.
     void instanceThatKnowsNoTargetsYetIsNotReady()
     {
         Brain brain("r-a");
--- a/Tests/LibSteering/TestSpares.cpp
+++ b/Tests/LibSteering/TestSpares.cpp
@@ -13,10 +13,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a process that has just started ends with a memory fault.
-    // Sequence: the store's targets are read before the operators' table; spare connections are
-    // looked after meanwhile.
-    // Cause: asking for the round trip to a region before any region is known.
+    // Guards against a memory fault right after the start of a process: if the targets are read
+    // from the store before the operators' table, refreshing idle connections looks up the round
+    // trip to a region before any region is known.
     void targetsKnownBeforeTheTableAreLeftAlone()
     {
         Brain brain("r-a");
--- a/Tests/LibSteering/TestTargetBook.cpp
+++ b/Tests/LibSteering/TestTargetBook.cpp
@@ -13,7 +13,7 @@
 
 const TargetId id("a");
 
-/// The registration of target "a" by the run that started at \a startedAt.
+/// Returns the registration of target "a" by the incarnation that started at \a startedAt.
 Platform::StoredRow registration(std::uint64_t revision, std::uint64_t startedAt,
                                  std::uint64_t reports, const std::string &state = "ready")
 {
@@ -52,11 +52,10 @@
         return brain.book_.all().at(id);
     }
 
-    // Symptom: a target that crashed while it was leaving and came back gets no work for ever;
-    // another one gets requests as if it still knew their objects, and each takes three times as
-    // long as was promised.
-    // Sequence: it registers again under the id that it had, as a later run.
-    // Cause: taking the id for the run.
+    // Guards against identifying an incarnation by the target id alone. A target that crashed while
+    // it was leaving, and that registers again under the same id as a later incarnation, would
+    // never get work. One that crashed otherwise would get requests as if its objects were still
+    // loaded, and each takes three times as long as estimated.
     void laterRunStartsWithNothingHeldForOrAgainstIt()
     {
         auto brain = informed(registration(5, 1000, 40, "draining"));
@@ -75,10 +74,9 @@
         CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
     }
 
-    // Symptom: a restarted target is taken for warm, and for busy with requests that it never got.
-    // Sequence: a request is sent; the target crashes and registers again; the answer, which was on
-    // its way, comes in.
-    // Cause: answers counted by the target's id.
+    // Guards against counting answers by target id: a request is sent, the target crashes and
+    // registers again, and the answer that was in transit arrives. The restarted target would be
+    // considered warm, and busy with requests that it never received.
     void answersOfTheEarlierRunTeachNothingOfTheLater()
     {
         auto brain = informed(registration(5, 1000, 40));
@@ -93,10 +91,9 @@
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, after->pace_.failureRate_, 1e-9);
     }
 
-    // Symptom: a live target is given up, or gets requests at an address that it left.
-    // Sequence: a write of its earlier run, which was held up, reaches the store after the later
-    // run's registration.
-    // Cause: the newest row taken for the newest run.
+    // Guards against considering the newest row the newest incarnation: a delayed write of the
+    // earlier incarnation reaches the store after the later incarnation's registration. A live
+    // target would be dropped, or get requests at an address that it left.
     void earlierRunNeverReplacesALaterOne()
     {
         auto brain = informed(registration(5, 2000, 1));
@@ -107,7 +104,7 @@
         CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
     }
 
-    // The same as the first, where targets do not tell when they started.
+    // The same as the first test, with targets that do not report their start time.
     void reportsCountedAnewShowALaterRun()
     {
         auto brain = informed(registration(5, 0, 40, "draining"));
@@ -117,10 +114,9 @@
         CPPUNIT_ASSERT(stateIn(brain)->takesWork());
     }
 
-    // Symptom: requests reach a target 2.5 s after it said that it leaves.
-    // Sequence: a target that does not tell when it started reports again and again, at last that
-    // it leaves.
-    // Cause: a held report with a lower count taken for that of a later run.
+    // Guards against requests that reach a target 2.5 s after it reported that it is leaving. A
+    // target that does not report its start time reports repeatedly, at last that it is leaving;
+    // the lower count of the held report is mistaken for that of a later incarnation.
     void laterReportsOfOneRunAreTakenIn()
     {
         for (const std::uint64_t startedAt : {0, 1000}) {
@@ -131,10 +127,10 @@
         }
     }
 
-    // Symptom: requests go to an address that nobody vouches for; or all targets are lost because
-    // one row is damaged.
-    // Sequence: somebody else writes over a target's registration; the target writes it again.
-    // Cause: using on what was known before, or refusing all rows for one.
+    // Guards against sending requests to an address that no registration confirms, and against
+    // losing all targets because of one damaged row. Another writer overwrites a target's
+    // registration, and the target writes it again. The first happens if the previous row stays in
+    // use, the second if one bad row rejects all.
     void unreadableRegistrationNamesNoTarget()
     {
         Brain brain("r-a");
@@ -150,9 +146,8 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), stateIn(brain)->objects_.size());
     }
 
-    // Symptom: the log fills with one line for each damaged row at each change of any other.
-    // Sequence: a damaged row stays in the store for hours.
-    // Cause: reading it again with every update.
+    // Guards against a log line for each damaged row on each change of any other row: a damaged row
+    // stays in the store for hours, and each update would decode it again.
     void unreadableRegistrationIsLoggedOnce()
     {
         Brain brain("r-a");
@@ -183,11 +178,11 @@
         return brain.book_.all().at(TargetId(target))->takesWork();
     }
 
-    // Symptom: a third of all callers is refused for four seconds beside free slots.
-    // Sequence: the targets of a failure domain crash and come back at their addresses under new
-    //   ids; the old registrations stay until they lapse, and requests meant for the old ids are
-    //   turned away one by one at each of two hundred instances.
-    // Cause: believing an old registration though a later one names its address.
+    // Guards against refusing a third of all callers for four seconds while slots are free. The
+    // targets of a failure domain crash and restart at their addresses under new ids; the old
+    // registrations stay until they expire, and requests for the old ids are rejected one by one at
+    // each of 200 instances. This happens if an old registration stays valid although a later one
+    // names its address.
     void laterRegistrationAtAnAddressEndsTheOneBefore()
     {
         for (const std::uint64_t startedAt : {0, 1000}) {
@@ -199,17 +194,16 @@
             CPPUNIT_ASSERT(!takesWork(brain, "a"));
             CPPUNIT_ASSERT(takesWork(brain, "z"));
             CPPUNIT_ASSERT_EQUAL(std::size_t(1), brain.book_.takeRestarted().size());
-            // A late write of the first one changes nothing of that.
+            // A late write of the earlier registration does not change that.
             brain.tellTargets(7, {registration(7, startedAt, 41), both[1]});
             CPPUNIT_ASSERT(!takesWork(brain, "a"));
             CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
         }
     }
 
-    // Symptom: a sound target gets no work any more.
-    // Sequence: somebody registers a target that does not exist at its address; the first request
-    //   for that one is turned away there.
-    // Cause: keeping to a registration that has shown to be wrong.
+    // Guards against a healthy target that gets no more work: another process registers a target
+    // that does not exist at its address, the first request for that target is rejected there, and
+    // the disproved registration stays in force.
     void registrationAtAForeignAddressHarmsNobodyForLong()
     {
         auto brain = informed(registration(5, 1000, 40));
@@ -233,7 +227,7 @@
         hearer.book_.hearLoads(told, hearer.now_);
         const auto &heard = stateIn(hearer)->sharedLoad_;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::othersByNews(heard, 0, hearer.now_), 1e-9);
-        // A request is expected to wait there now.
+        // A request would now have to wait there.
         const auto placed = hearer.placer_.place(Fakes::job(hearer, "read", 7), hearer.now_);
         const auto *placement = std::get_if<Placement>(&placed);
         CPPUNIT_ASSERT(!placement || placement->load_ >= 9);
