--- a/Libraries/LibSteering/CrashGuard.cpp
+++ b/Libraries/LibSteering/CrashGuard.cpp
@@ -28,11 +28,11 @@
 {
 }
 
-std::optional<Refusal> CrashGuard::check(Job &job, SteadyTime now)
+std::optional<Refusal> CrashGuard::check(RequestContext &request, SteadyTime now)
 {
-    if (view_.isEmpty() || !view_.mayHold(headOf(job, port_.headers_)))
+    if (view_.isEmpty() || !view_.mayHold(fingerprintPrefixFor(request, port_.headers_)))
         return std::nullopt;
-    const auto found = Policy::standingOf(view_, printOf(job, port_.headers_), now);
+    const auto found = Policy::standingOf(view_, fingerprintFor(request, port_.headers_), now);
     Refusal refusal{ResultCode::Quarantined, Policy::comeBackFromTrial, Model::Microseconds(0)};
     switch (found.standing_) {
     case RequestStanding::Free:
@@ -40,10 +40,10 @@
     case RequestStanding::Trial:
         // A retry is still sent: the request may have been lost to a crash that another request
         // caused.
-        if (job.isOnTrial_ || job.attempts_ > 0)
+        if (request.holdsProbeSlot_ || request.attempts_ > 0)
             return std::nullopt;
-        job.isOnTrial_ = !std::exchange(isTrialHeld_, true);
-        if (job.isOnTrial_)
+        request.holdsProbeSlot_ = !std::exchange(isProbeSlotTaken_, true);
+        if (request.holdsProbeSlot_)
             return std::nullopt;
         break;
     case RequestStanding::Pending:
@@ -56,52 +56,56 @@
     return refusal;
 }
 
-void CrashGuard::release(Job &job)
+void CrashGuard::release(RequestContext &request)
 {
-    if (job.isOnTrial_)
-        isTrialHeld_ = false;
-    job.isOnTrial_ = false;
+    if (request.holdsProbeSlot_)
+        isProbeSlotTaken_ = false;
+    request.holdsProbeSlot_ = false;
 }
 
-void CrashGuard::remember(Job &job, const std::shared_ptr<TargetState> &kept, SteadyTime now)
+void CrashGuard::recordLoss(RequestContext &request,
+                            const std::shared_ptr<TargetState> &sharedTarget, SteadyTime now)
 {
-    TargetState &target = *kept;
-    if (std::find(lossy_.begin(), lossy_.end(), kept) == lossy_.end())
-        lossy_.push_back(kept);
-    if (now - target.lostAt_ > Policy::lossMemory)
-        target.lost_.clear();
-    target.lostAt_ = now;
-    if (target.lost_.size() < Policy::mostSuspects)
-        target.lost_.push_back(printOf(job, port_.headers_));
-    const auto &message = job.incoming_.message_;
+    TargetState &target = *sharedTarget;
+    if (std::find(targetsWithLosses_.begin(), targetsWithLosses_.end(), sharedTarget)
+        == targetsWithLosses_.end())
+        targetsWithLosses_.push_back(sharedTarget);
+    if (now - target.lastLossAt_ > Policy::lossMemory)
+        target.lostRequests_.clear();
+    target.lastLossAt_ = now;
+    if (target.lostRequests_.size() < Policy::mostSuspects)
+        target.lostRequests_.push_back(fingerprintFor(request, port_.headers_));
+    const auto &message = request.incoming_.message_;
     std::string name(message.method_string());
     name += " " + std::string(message[Http::http::field::host]) + std::string(message.target());
-    Policy::remember(names_, printOf(job, port_.headers_), std::move(name));
+    Policy::remember(requestNames_, fingerprintFor(request, port_.headers_), std::move(name));
 }
 
-bool CrashGuard::noteLost(Job &job, const std::shared_ptr<TargetState> &kept, SteadyTime now)
+bool CrashGuard::noteLost(RequestContext &request, const std::shared_ptr<TargetState> &sharedTarget,
+                          SteadyTime now)
 {
-    TargetState &target = *kept;
+    TargetState &target = *sharedTarget;
     // A leaving target that stops is no crash.
-    if (target.record_.isLeaving_ || target.removed_)
+    if (target.record_.isLeaving_ || target.removedRegistration_)
         return false;
-    remember(job, kept, now);
+    recordLoss(request, sharedTarget, now);
     if (target.hasEnded_ || target.isReplaced_) {
         noteEnded(target, now);
         return false;
     }
-    return !std::exchange(target.isKnockedAt_, true);
+    return !std::exchange(target.isListenProbePending_, true);
 }
 
-void CrashGuard::noteBrokenOff(Job &job, const std::shared_ptr<TargetState> &target, SteadyTime now)
+void CrashGuard::noteCancelled(RequestContext &request, const std::shared_ptr<TargetState> &target,
+                               SteadyTime now)
 {
-    if (!target->record_.isLeaving_ && !target->removed_)
-        remember(job, target, now);
+    if (!target->record_.isLeaving_ && !target->removedRegistration_)
+        recordLoss(request, target, now);
 }
 
 void CrashGuard::noteListening(TargetState &target, Http::Listening listening, SteadyTime now)
 {
-    target.isKnockedAt_ = false;
+    target.isListenProbePending_ = false;
     if (listening != Http::Listening::No)
         return;
     noteEnded(target, now);
@@ -110,120 +114,122 @@
 void CrashGuard::noteEnded(TargetState &target, SteadyTime now)
 {
     const bool isNew = !std::exchange(target.hasEnded_, true);
-    if (target.lost_.empty() || now - target.lostAt_ > Policy::lossMemory)
+    if (target.lostRequests_.empty() || now - target.lastLossAt_ > Policy::lossMemory)
         return;
     if (isNew) {
         ++endedTargets_;
         log_.line(Event::TargetEnded)
             .add("target", target.record_.id_.value())
             .add("service", target.record_.service_.value())
-            .add("in_progress", static_cast<std::int64_t>(target.lost_.size()))
-            .add("print", toText(target.lost_.front()));
+            .add("in_progress", static_cast<std::int64_t>(target.lostRequests_.size()))
+            .add("print", toText(target.lostRequests_.front()));
     }
-    Policy::noteEnded(book_, Policy::runKeyOf(target.record_.id_, target.record_.incarnation_),
-                      target.lost_, now);
-    target.lost_.clear();
+    Policy::noteEnded(crashRecords_,
+                      Policy::runKeyOf(target.record_.id_, target.record_.incarnation_),
+                      target.lostRequests_, now);
+    target.lostRequests_.clear();
 }
 
-void CrashGuard::noteAnswered(Job &job, SteadyTime now)
+void CrashGuard::noteAnswered(RequestContext &request, SteadyTime now)
 {
-    if (view_.isEmpty() || !view_.mayHold(headOf(job, port_.headers_)))
+    if (view_.isEmpty() || !view_.mayHold(fingerprintPrefixFor(request, port_.headers_)))
         return;
-    const RequestPrint &print = printOf(job, port_.headers_);
-    if (Policy::noteAnswered(book_, print, now)) {
-        for (const RequestPrint &lifted : {print, RequestPrint{print.request_, 0}}) {
-            if (!book_.quarantines_.contains(lifted))
+    const RequestPrint &fingerprint = fingerprintFor(request, port_.headers_);
+    if (Policy::noteAnswered(crashRecords_, fingerprint, now)) {
+        for (const RequestPrint &lifted : {fingerprint, RequestPrint{fingerprint.request_, 0}}) {
+            if (!crashRecords_.quarantines_.contains(lifted))
                 continue;
             logLifted(lifted, "answer");
-            unwritten_.push_back(lifted);
+            unwrittenRecords_.push_back(lifted);
         }
     }
     // Admits requests with the same fingerprint before the next tick.
-    if (job.isOnTrial_)
-        view_ = Policy::viewOf(book_, now);
+    if (request.holdsProbeSlot_)
+        view_ = Policy::viewOf(crashRecords_, now);
 }
 
 /// A proxy may keep listening on behalf of a crashed target; a later registration at its address
 /// also proves that it ended.
-void CrashGuard::findSucceeded(SteadyTime now)
+void CrashGuard::findReplacedTargets(SteadyTime now)
 {
-    for (const auto &target : lossy_) {
+    for (const auto &target : targetsWithLosses_) {
         if (target->isReplaced_ || target->isSucceeded())
             noteEnded(*target, now);
     }
-    std::erase_if(lossy_, [&](const auto &target) {
-        return target->lost_.empty() || now - target->lostAt_ > Policy::lossMemory;
+    std::erase_if(targetsWithLosses_, [&](const auto &target) {
+        return target->lostRequests_.empty() || now - target->lastLossAt_ > Policy::lossMemory;
     });
 }
 
 void CrashGuard::judge(SteadyTime now)
 {
-    findSucceeded(now);
-    const bool isDue
-        = book_.isChanged_ || !book_.pending_.empty() || now - judgedAt_ > Policy::reviewPause;
+    findReplacedTargets(now);
+    const bool isDue = crashRecords_.isChanged_ || !crashRecords_.pending_.empty()
+                       || now - evaluatedAt_ > Policy::reviewPause;
     if (!isDue)
         return;
-    judgedAt_ = now;
-    const bool wasEmpty = book_.runs_.empty() && book_.quarantines_.empty();
-    noteVerdicts(Policy::judge(book_, now), now);
+    evaluatedAt_ = now;
+    const bool wasEmpty = crashRecords_.runs_.empty() && crashRecords_.quarantines_.empty();
+    applyDecisions(Policy::judge(crashRecords_, now), now);
     if (!wasEmpty)
-        view_ = Policy::viewOf(book_, now);
-    book_.isChanged_ = false;
+        view_ = Policy::viewOf(crashRecords_, now);
+    crashRecords_.isChanged_ = false;
 }
 
-void CrashGuard::noteVerdicts(const Policy::Verdicts &verdicts, SteadyTime now)
+void CrashGuard::applyDecisions(const Policy::Verdicts &decisions, SteadyTime now)
 {
-    for (const auto &print : verdicts.quarantined_) {
+    for (const auto &fingerprint : decisions.quarantined_) {
         ++verdicts_;
-        const auto &quarantine = book_.quarantines_.at(print);
+        const auto &quarantine = crashRecords_.quarantines_.at(fingerprint);
         const auto length = Policy::inForceUntil(quarantine) - now;
         log_.line(Event::RequestQuarantined)
-            .add("print", toText(print))
-            .add("request", Policy::nameOf(names_, print))
+            .add("print", toText(fingerprint))
+            .add("request", Policy::nameOf(requestNames_, fingerprint))
             .add("generation", static_cast<std::int64_t>(quarantine.generation_))
             .add("for_ms", std::chrono::duration_cast<Model::Microseconds>(length));
-        unwritten_.push_back(print);
+        unwrittenRecords_.push_back(fingerprint);
     }
-    for (const auto &print : verdicts.lifted_) {
-        logLifted(print, "another request explains its ends");
-        unwritten_.push_back(print);
+    for (const auto &fingerprint : decisions.lifted_) {
+        logLifted(fingerprint, "another request explains its ends");
+        unwrittenRecords_.push_back(fingerprint);
     }
 }
 
-void CrashGuard::logLifted(const RequestPrint &print, const char *by)
+void CrashGuard::logLifted(const RequestPrint &fingerprint, const char *by)
 {
-    log_.line(Event::QuarantineLifted).add("print", toText(print)).add("by", by);
+    log_.line(Event::QuarantineLifted).add("print", toText(fingerprint)).add("by", by);
 }
 
 void CrashGuard::hear(const Policy::CrashNews &news, bool isPeerReady, SteadyTime now)
 {
     isInformed_ = isInformed_ || isPeerReady;
-    const auto isInForce = [&](const RequestPrint &print) {
-        const auto found = book_.quarantines_.find(print);
-        return found != book_.quarantines_.end() && Policy::inForceUntil(found->second) > now;
+    const auto isInForce = [&](const RequestPrint &fingerprint) {
+        const auto found = crashRecords_.quarantines_.find(fingerprint);
+        return found != crashRecords_.quarantines_.end()
+               && Policy::inForceUntil(found->second) > now;
     };
     std::vector<RequestPrint> before;
-    for (const auto &told : news.quarantines_) {
-        if (isInForce(told.print_))
-            before.push_back(told.print_);
+    for (const auto &received : news.quarantines_) {
+        if (isInForce(received.print_))
+            before.push_back(received.print_);
     }
-    if (!Policy::takeIn(book_, news, now))
+    if (!Policy::takeIn(crashRecords_, news, now))
         return;
-    bool isVerdict = false;
-    for (const auto &told : news.quarantines_) {
-        const bool was = std::find(before.begin(), before.end(), told.print_) != before.end();
-        const bool is = isInForce(told.print_);
-        isVerdict |= was != is;
+    bool hasDecisionChanged = false;
+    for (const auto &received : news.quarantines_) {
+        const bool was = std::find(before.begin(), before.end(), received.print_) != before.end();
+        const bool is = isInForce(received.print_);
+        hasDecisionChanged |= was != is;
         if (was && !is)
-            logLifted(told.print_, "peer");
+            logLifted(received.print_, "peer");
         if (!was && is) {
             log_.line(Event::RequestQuarantined)
-                .add("print", toText(told.print_))
-                .add("request", Policy::nameOf(names_, told.print_))
+                .add("print", toText(received.print_))
+                .add("request", Policy::nameOf(requestNames_, received.print_))
                 .add("by", "peer");
         }
     }
-    if (isVerdict)
+    if (hasDecisionChanged)
         judge(now);
 }
 
@@ -231,25 +237,26 @@
                              Model::WallTime wallNow)
 {
     for (const auto &[key, text] : records) {
-        const auto print = Policy::printFromText(key);
+        const auto fingerprint = Policy::printFromText(key);
         const json record = json::parse(text, nullptr, false);
         try {
-            Policy::ToldQuarantine told;
-            told.print_ = print.value();
-            told.generation_ = record.at("generation").get<std::uint32_t>();
-            told.lifted_ = record.at("lifted").get<std::uint32_t>();
+            Policy::ToldQuarantine received;
+            received.print_ = fingerprint.value();
+            received.generation_ = record.at("generation").get<std::uint32_t>();
+            received.lifted_ = record.at("lifted").get<std::uint32_t>();
             const auto since = record.at("since_ms").get<long long>();
-            told.age_ = std::max(Milliseconds(0), Milliseconds(millisecondsOf(wallNow) - since));
-            const Policy::Quarantine quarantine{told.generation_, 0, now - told.age_};
+            received.age_
+                = std::max(Milliseconds(0), Milliseconds(millisecondsOf(wallNow) - since));
+            const Policy::Quarantine quarantine{received.generation_, 0, now - received.age_};
             if (Policy::inForceUntil(quarantine) > now) {
-                Policy::takeIn(book_, {{}, {told}}, now);
+                Policy::takeIn(crashRecords_, {{}, {received}}, now);
                 continue;
             }
         } catch (const std::exception &error) {
             log_.line(Event::QuarantinesUnread).add("print", key).add("reason", error.what());
         }
-        if (print)
-            unwritten_.push_back(*print);
+        if (fingerprint)
+            unwrittenRecords_.push_back(*fingerprint);
     }
     isInformed_ = true;
     judge(now);
@@ -258,10 +265,11 @@
 std::vector<QuarantineRecord> CrashGuard::takeUnwritten(SteadyTime now, Model::WallTime wallNow)
 {
     std::vector<QuarantineRecord> records;
-    for (const auto &print : std::exchange(unwritten_, {})) {
-        QuarantineRecord record{print, std::nullopt};
-        const auto found = book_.quarantines_.find(print);
-        if (found != book_.quarantines_.end() && Policy::inForceUntil(found->second) > now) {
+    for (const auto &fingerprint : std::exchange(unwrittenRecords_, {})) {
+        QuarantineRecord record{fingerprint, std::nullopt};
+        const auto found = crashRecords_.quarantines_.find(fingerprint);
+        if (found != crashRecords_.quarantines_.end()
+            && Policy::inForceUntil(found->second) > now) {
             const auto age = std::chrono::duration_cast<Milliseconds>(now - found->second.since_);
             const json text = {{"generation", found->second.generation_},
                                {"lifted", found->second.lifted_},
@@ -276,18 +284,18 @@
 std::string CrashGuard::listText(SteadyTime now) const
 {
     json quarantined = json::array();
-    for (const auto &[print, quarantine] : book_.quarantines_) {
+    for (const auto &[fingerprint, quarantine] : crashRecords_.quarantines_) {
         const auto left = Policy::inForceUntil(quarantine) - now;
         if (left <= SteadyTime::duration(0))
             continue;
         quarantined.push_back(
-            {{"print", toText(print)},
-             {"request", Policy::nameOf(names_, print)},
+            {{"print", toText(fingerprint)},
+             {"request", Policy::nameOf(requestNames_, fingerprint)},
              {"generation", quarantine.generation_},
              {"left_ms", std::chrono::duration_cast<Milliseconds>(left).count()}});
     }
     json runs = json::array();
-    for (const auto &[key, run] : book_.runs_) {
+    for (const auto &[key, run] : crashRecords_.runs_) {
         json suspects = json::array();
         for (const auto &suspect : run.suspects_) {
             if (!suspect.isCleared_)
@@ -300,15 +308,14 @@
     return all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-bool CrashGuard::lift(const RequestPrint &print, SteadyTime now)
+bool CrashGuard::lift(const RequestPrint &fingerprint, SteadyTime now)
 {
-    if (!Policy::liftQuarantine(book_, print, now)) {
-        Model::fail(ResultCode::UnknownRow,
-                    "no quarantine in force for request fingerprint " + toText(print));
+    if (!Policy::liftQuarantine(crashRecords_, fingerprint, now)) {
+        Model::fail(ResultCode::UnknownRow, "no quarantine of " + toText(fingerprint));
         return false;
     }
-    logLifted(print, "operator");
-    unwritten_.push_back(print);
+    logLifted(fingerprint, "operator");
+    unwrittenRecords_.push_back(fingerprint);
     judge(now);
     return true;
 }
@@ -316,9 +323,10 @@
 std::size_t CrashGuard::quarantined(SteadyTime now) const
 {
     return static_cast<std::size_t>(
-        std::count_if(book_.quarantines_.begin(), book_.quarantines_.end(), [&](const auto &entry) {
-            return Policy::inForceUntil(entry.second) > now;
-        }));
+        std::count_if(crashRecords_.quarantines_.begin(), crashRecords_.quarantines_.end(),
+                      [&](const auto &entry) {
+                          return Policy::inForceUntil(entry.second) > now;
+                      }));
 }
 
 } // namespace Steering
--- a/Libraries/LibSteering/CrashGuard.h
+++ b/Libraries/LibSteering/CrashGuard.h
@@ -25,30 +25,35 @@
 public:
     CrashGuard(const PlatformPort &port, Observe::DecisionLog &log);
 
-    /// Returns why \a job may not be sent to a target now, or std::nullopt if it may. A job that
-    /// may be sent must be passed to release() after its last attempt.
-    std::optional<Refusal> check(Job &job, Model::SteadyTime now);
-    void release(Job &job);
+    /// Returns why \a request may not be sent to a target now, or std::nullopt if it may. A
+    /// request that may be sent must be passed to release() after its last attempt.
+    std::optional<Refusal> check(RequestContext &request, Model::SteadyTime now);
+    void release(RequestContext &request);
 
-    /// Records that the connection to \a target broke while \a job was in progress there. Returns
-    /// whether the caller must probe if the target still listens, and pass the result to
+    /// Records that the connection to \a target broke while \a request was in progress there.
+    /// Returns whether the caller must probe if the target still listens, and pass the result to
     /// noteListening().
-    bool noteLost(Job &job, const std::shared_ptr<TargetState> &target, Model::SteadyTime now);
-    /// Records that this instance cancelled \a job: if the target turns out to have crashed, the
-    /// request counts as in progress there.
-    void noteBrokenOff(Job &job, const std::shared_ptr<TargetState> &target, Model::SteadyTime now);
+    bool noteLost(RequestContext &request, const std::shared_ptr<TargetState> &target,
+                  Model::SteadyTime now);
+    /// Records that this instance cancelled \a request: if the target turns out to have crashed,
+    /// the request counts as in progress there.
+    void noteCancelled(RequestContext &request, const std::shared_ptr<TargetState> &target,
+                       Model::SteadyTime now);
     void noteListening(TargetState &target, Http::Listening listening, Model::SteadyTime now);
     /// Records that an incarnation of a target has ended: no process, or another incarnation,
     /// listens at its address.
     void noteEnded(TargetState &target, Model::SteadyTime now);
-    /// Records that a target processed \a job and answered.
-    void noteAnswered(Job &job, Model::SteadyTime now);
+    /// Records that a target processed \a request and answered.
+    void noteAnswered(RequestContext &request, Model::SteadyTime now);
 
     /// Finds targets that another incarnation replaced, and makes the quarantine decisions that are
     /// due. Called every tick.
     void judge(Model::SteadyTime now);
 
-    Policy::CrashNews news(Model::SteadyTime now) const { return Policy::newsOf(book_, now); }
+    Policy::CrashNews news(Model::SteadyTime now) const
+    {
+        return Policy::newsOf(crashRecords_, now);
+    }
     /// Merges a peer's update. A peer for which \a isPeerReady holds has complete crash records.
     void hear(const Policy::CrashNews &news, bool isPeerReady, Model::SteadyTime now);
 
@@ -63,13 +68,16 @@
     /// Returns the records that are yet to be written to the store, each once.
     std::vector<QuarantineRecord> takeUnwritten(Model::SteadyTime now, Model::WallTime wallNow);
     /// Has takeUnwritten() return a record again that the store failed to write.
-    void writeAgain(const Policy::RequestPrint &print) { unwritten_.push_back(print); }
+    void writeAgain(const Policy::RequestPrint &fingerprint)
+    {
+        unwrittenRecords_.push_back(fingerprint);
+    }
 
     /// Returns, as JSON, the quarantined requests and those that were in progress at crashes.
     std::string listText(Model::SteadyTime now) const;
     /// Releases a request from quarantine for an operator. Returns false, with UnknownRow as the
     /// last reason, if no quarantine is in force.
-    bool lift(const Policy::RequestPrint &print, Model::SteadyTime now);
+    bool lift(const Policy::RequestPrint &fingerprint, Model::SteadyTime now);
 
     std::size_t quarantined(Model::SteadyTime now) const;
     std::uint64_t endedTargets() const { return endedTargets_; }
@@ -77,22 +85,23 @@
     std::uint64_t kept() const { return kept_; }
 
 private:
-    void remember(Job &job, const std::shared_ptr<TargetState> &target, Model::SteadyTime now);
-    void findSucceeded(Model::SteadyTime now);
-    void noteVerdicts(const Policy::Verdicts &verdicts, Model::SteadyTime now);
-    void logLifted(const Policy::RequestPrint &print, const char *by);
+    void recordLoss(RequestContext &request, const std::shared_ptr<TargetState> &target,
+                    Model::SteadyTime now);
+    void findReplacedTargets(Model::SteadyTime now);
+    void applyDecisions(const Policy::Verdicts &verdicts, Model::SteadyTime now);
+    void logLifted(const Policy::RequestPrint &fingerprint, const char *by);
 
     const PlatformPort &port_;
     Observe::DecisionLog &log_;
-    Policy::CrashBook book_;
+    Policy::CrashBook crashRecords_;
     Policy::CrashView view_;
-    Model::SteadyTime judgedAt_ = Model::longAgo;
+    Model::SteadyTime evaluatedAt_ = Model::longAgo;
     /// Targets that recently lost requests.
-    std::vector<std::shared_ptr<TargetState>> lossy_;
+    std::vector<std::shared_ptr<TargetState>> targetsWithLosses_;
     /// Names of the requests that were lost on this instance.
-    Policy::RequestNames names_;
-    std::vector<Policy::RequestPrint> unwritten_;
-    bool isTrialHeld_ = false;
+    Policy::RequestNames requestNames_;
+    std::vector<Policy::RequestPrint> unwrittenRecords_;
+    bool isProbeSlotTaken_ = false;
     bool isInformed_ = false;
     std::uint64_t endedTargets_ = 0;
     std::uint64_t verdicts_ = 0;
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -17,25 +17,25 @@
 namespace {
 
 /// A non-idempotent request requires a connection that has been idle for less time.
-constexpr Milliseconds longestRest{8000};
-constexpr Milliseconds longestRestOnce{6000};
+constexpr Milliseconds maxIdleTime{8000};
+constexpr Milliseconds maxIdleTimeNonIdempotent{6000};
 /// How long after the deadline a target's own timeout response may still arrive.
 constexpr Milliseconds deadlineSlack{150};
 /// Connections that take longer than this to open are opened in advance: callers of a region with
 /// few targets lose an inter-region round trip on each.
-constexpr Microseconds dearConnection{10000};
+constexpr Microseconds slowConnectThreshold{10000};
 /// A connection that has been idle for longer is replaced before it is too old for a non-idempotent
 /// request.
-constexpr Milliseconds freshSpare = longestRestOnce - Milliseconds(1000);
+constexpr Milliseconds idleRefreshAge = maxIdleTimeNonIdempotent - Milliseconds(1000);
 /// Each request in progress needs one connection; a target accepts about 400 from all entries
 /// together.
-constexpr std::size_t connectionsToTarget = 24;
+constexpr std::size_t maxConnectionsPerTarget = 24;
 /// Late answers to earlier requests that may precede the matching one.
-constexpr int foreignAnswersSkipped = 2;
+constexpr int maxForeignAnswersSkipped = 2;
 /// Fraction of the platform's retry limit for all instances that is used, so that a wrong count of
 /// instances does not exceed the limit.
-constexpr double usedRetryPart = 0.5;
-constexpr long long longestDeadlineMs = 600000;
+constexpr double usedRetryFraction = 0.5;
+constexpr long long maxDeadlineMs = 600000;
 
 SteadyTime steadyNow()
 {
@@ -68,25 +68,25 @@
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc() || end != text.data() + text.size() || value <= 0)
         return std::nullopt;
-    return Milliseconds(std::min(value, longestDeadlineMs));
+    return Milliseconds(std::min(value, maxDeadlineMs));
 }
 
 /// Lists a request as in progress for the lifetime of this object.
-class Registration
+class InProgressEntry
 {
 public:
-    Registration(std::list<Job *> &jobs, Job &job)
-        : jobs_(jobs)
-        , place_(jobs.insert(jobs.end(), &job))
+    InProgressEntry(std::list<RequestContext *> &requests, RequestContext &request)
+        : requestsInProgress_(requests)
+        , place_(requests.insert(requests.end(), &request))
     {
     }
-    ~Registration() { jobs_.erase(place_); }
-    Registration(const Registration &) = delete;
-    Registration &operator=(const Registration &) = delete;
+    ~InProgressEntry() { requestsInProgress_.erase(place_); }
+    InProgressEntry(const InProgressEntry &) = delete;
+    InProgressEntry &operator=(const InProgressEntry &) = delete;
 
 private:
-    std::list<Job *> &jobs_;
-    std::list<Job *>::iterator place_;
+    std::list<RequestContext *> &requestsInProgress_;
+    std::list<RequestContext *>::iterator place_;
 };
 
 } // namespace
@@ -107,175 +107,176 @@
 Task<Http::Response> Dispatcher::answer(Http::IncomingRequest incoming)
 {
     ++counters_.requests_;
-    Job job;
-    job.incoming_ = std::move(incoming);
-    const Registration registration(jobs_, job);
-    auto refused = readRequest(job);
+    RequestContext request;
+    request.incoming_ = std::move(incoming);
+    const InProgressEntry inProgressEntry(requestsInProgress_, request);
+    auto refused = readRequest(request);
     if (refused)
         co_return std::move(*refused);
-    Http::Response response = co_await carry(job);
-    guard_.release(job);
-    if (job.isAbandoned_)
+    Http::Response response = co_await sendWithRetries(request);
+    guard_.release(request);
+    if (request.isAbandoned_)
         ++counters_.abandoned_;
     co_return response;
 }
 
-std::optional<Http::Response> Dispatcher::readRequest(Job &job)
+std::optional<Http::Response> Dispatcher::readRequest(RequestContext &request)
 {
-    const Http::Request &message = job.incoming_.message_;
-    job.arrivedAt_ = job.incoming_.arrivedAt_;
-    job.id_ = std::string(textOf(message[viewOf(port_.headers_.requestId_)]));
-    job.table_ = knowledge_.table();
-    if (!job.table_ || !guard_.isInformed())
-        return refuse(job, {ResultCode::NotReady, comeBackWhenReady, Microseconds(0)});
+    const Http::Request &message = request.incoming_.message_;
+    request.arrivedAt_ = request.incoming_.arrivedAt_;
+    request.id_ = std::string(textOf(message[viewOf(port_.headers_.requestId_)]));
+    request.table_ = knowledge_.table();
+    if (!request.table_ || !guard_.isInformed())
+        return refuse(request, {ResultCode::NotReady, retryDelayWhenNotReady, Microseconds(0)});
 
     const std::string_view host = withoutPort(textOf(message[http::field::host]));
-    job.route_ = job.table_->routes().find(host, pathOf(textOf(message.target())));
-    if (!job.route_)
-        return refuse(job, {ResultCode::UnknownRoute, Milliseconds(0), Microseconds(0)});
+    request.route_ = request.table_->routes().find(host, pathOf(textOf(message.target())));
+    if (!request.route_)
+        return refuse(request, {ResultCode::UnknownRoute, Milliseconds(0), Microseconds(0)});
 
-    const auto patience = timeLeftIn(textOf(message[viewOf(port_.headers_.timeLeft_)]));
-    const Milliseconds timeout = job.route_->timeout_;
-    job.deadline_ = job.arrivedAt_ + std::min(patience.value_or(timeout), timeout);
+    const auto callerTimeout = timeLeftIn(textOf(message[viewOf(port_.headers_.timeLeft_)]));
+    const Milliseconds timeout = request.route_->timeout_;
+    request.deadline_ = request.arrivedAt_ + std::min(callerTimeout.value_or(timeout), timeout);
     const auto key = textOf(message[viewOf(port_.headers_.affinityKey_)]);
-    job.hasObject_ = job.route_->hasAffinity_ && !key.empty();
+    request.hasObject_ = request.route_->hasAffinity_ && !key.empty();
     // Objects of different routes are distinct even if their keys are equal.
-    const std::string_view spread = job.hasObject_ ? key : std::string_view(job.id_);
-    job.object_
-        = Policy::ownerScore(Policy::seedOf(spread), Policy::seedOf(job.route_->id_.value()));
-    job.service_ = placer_.chooseService(*job.route_);
+    const std::string_view spread = request.hasObject_ ? key : std::string_view(request.id_);
+    request.object_
+        = Policy::ownerScore(Policy::seedOf(spread), Policy::seedOf(request.route_->id_.value()));
+    request.service_ = placer_.chooseService(*request.route_);
     Policy::RetryTerms terms;
-    terms.share_ = port_.terms_.retryShare_ * usedRetryPart;
-    terms.largest_ = port_.terms_.retryExtra_ * usedRetryPart / static_cast<double>(instances_);
-    Policy::earnRetryCredit(retryBudgets_[job.service_], terms);
+    terms.share_ = port_.terms_.retryShare_ * usedRetryFraction;
+    terms.largest_ = port_.terms_.retryExtra_ * usedRetryFraction / static_cast<double>(instances_);
+    Policy::earnRetryCredit(retryBudgets_[request.service_], terms);
     return std::nullopt;
 }
 
-Task<Http::Response> Dispatcher::carry(Job &job)
+Task<Http::Response> Dispatcher::sendWithRetries(RequestContext &request)
 {
     // The first attempt after which the request may have run. Its outcome stays unknown regardless
     // of the results of later attempts.
-    std::optional<Attempt> open;
+    std::optional<Attempt> unresolved;
     while (true) {
-        if (const auto kept = guard_.check(job, steadyNow()))
-            co_return open ? giveUp(job, *open) : refuse(job, *kept);
-        const auto placed = placer_.place(job, steadyNow());
+        if (const auto withheld = guard_.check(request, steadyNow()))
+            co_return unresolved ? failRequest(request, *unresolved) : refuse(request, *withheld);
+        const auto placed = placer_.place(request, steadyNow());
         if (const auto *refusal = std::get_if<Refusal>(&placed))
-            co_return open ? giveUp(job, *open) : refuse(job, *refusal);
+            co_return unresolved ? failRequest(request, *unresolved) : refuse(request, *refusal);
         const Placement placement = std::get<Placement>(placed);
-        Attempt attempted = co_await attempt(job, placement);
+        Attempt attempted = co_await attempt(request, placement);
         if (attempted.answer_)
-            co_return deliver(job, placement, std::move(attempted));
+            co_return deliver(request, placement, std::move(attempted));
         if (attempted.isWithdrawn_ && !attempted.wasSent_)
             continue;
-        const bool mayTry = mayTryAgain(job, attempted, steadyNow());
-        if (!open && attempted.outcome_ != Outcome::NotRun)
-            open = attempted;
+        const bool mayTry = mayTryAgain(request, attempted, steadyNow());
+        if (!unresolved && attempted.outcome_ != Outcome::NotRun)
+            unresolved = attempted;
         if (!mayTry)
-            co_return giveUp(job, open ? *open : attempted);
+            co_return failRequest(request, unresolved ? *unresolved : attempted);
         log_.line(Event::RequestRetried)
-            .add("id", job.id_)
+            .add("id", request.id_)
             .add("after", Model::describe(attempted.code_))
             .add("target", placement.target_->record_.id_.value())
-            .add("print", toText(printOf(job, port_.headers_)));
+            .add("print", toText(fingerprintFor(request, port_.headers_)));
         ++counters_.retried_;
     }
 }
 
-Task<Dispatcher::Attempt> Dispatcher::attempt(Job &job, const Placement &placement)
+Task<Dispatcher::Attempt> Dispatcher::attempt(RequestContext &request, const Placement &placement)
 {
     TargetState &target = *placement.target_;
-    job.tried_.push_back(target.record_.id_);
+    request.tried_.push_back(target.record_.id_);
     const auto sentAt = steadyNow();
-    const Http::Request message = messageFor(job, target, sentAt);
+    const Http::Request message = messageFor(request, target, sentAt);
     Http::ExchangeOptions options;
     options.address_ = target.record_.address_;
-    options.deadline_ = job.deadline_ + deadlineSlack;
-    options.connectTimeout_ = placer_.connectPatienceFor(target);
-    options.longestIdle_ = job.route_->isIdempotent_ ? longestRest : longestRestOnce;
-    if (job.attempts_ > 0)
+    options.deadline_ = request.deadline_ + deadlineSlack;
+    options.connectTimeout_ = placer_.connectTimeoutFor(target);
+    options.longestIdle_ = request.route_->isIdempotent_ ? maxIdleTime : maxIdleTimeNonIdempotent;
+    if (request.attempts_ > 0)
         options.longestIdle_ = Milliseconds(0);
-    options.connectionLimit_ = connectionsToTarget;
+    options.connectionLimit_ = maxConnectionsPerTarget;
     options.takesUnframed_ = true;
-    options.foreignAnswersSkipped_ = foreignAnswersSkipped;
-    options.control_ = &job.control_;
+    options.foreignAnswersSkipped_ = maxForeignAnswersSkipped;
+    options.control_ = &request.control_;
     options.maySend_ = [&] {
         return maySendTo(target);
     };
     options.watchPeriod_ = Policy::tickPeriod;
     options.sendPatience_ = Policy::sendPatience;
     options.sends_ = [&] {
-        noteSend(job, target);
+        noteSend(request, target);
     };
 
     ++target.ownInFlight_;
-    const auto sent = target.sent_.insert(target.sent_.end(), {sentAt, placement.latestUsual_});
+    const auto sent = target.sentRequests_.insert(target.sentRequests_.end(),
+                                                  {sentAt, placement.maxUsualLatency_});
     Http::ExchangeResult result = co_await Http::exchange(
         pool_, options, message,
-        [name = viewOf(port_.headers_.requestId_)](const Http::Request &request,
+        [name = viewOf(port_.headers_.requestId_)](const Http::Request &sentRequest,
                                                    const Http::Response &answer) {
-            return answer.count(name) == 1 && answer[name] == request[name];
+            return answer.count(name) == 1 && answer[name] == sentRequest[name];
         });
     --target.ownInFlight_;
-    target.sent_.erase(sent);
+    target.sentRequests_.erase(sent);
     const auto now = steadyNow();
     if (result.connectTook_.count() > 0) {
         placer_.noteConnect(target, result.connectTook_);
         // The pool had no idle connection. If connecting is slow, open one more than is in use.
-        if (result.connectTook_ >= dearConnection && !target.isPreparing_) {
+        if (result.connectTook_ >= slowConnectThreshold && !target.isConnecting_) {
             options.control_ = nullptr;
             options.maySend_ = nullptr;
             options.sends_ = nullptr;
             options.deadline_ = now + options.connectTimeout_;
-            Http::asio::co_spawn(context_, prepareSpare(placement.target_, options),
+            Http::asio::co_spawn(context_, openIdleConnection(placement.target_, options),
                                  Http::asio::detached);
         }
     }
     if (result.stage_ != Http::ExchangeStage::NotConnected)
-        ++job.attempts_;
+        ++request.attempts_;
     // The connect time is not part of the target's processing time.
     const auto took = std::chrono::duration_cast<Microseconds>(now - sentAt) - result.connectTook_;
-    Attempt attempted = judge(job, placement, sentAt, std::move(result));
+    Attempt attempted = judge(request, placement, sentAt, std::move(result));
     if (attempted.answer_)
-        placer_.noteAnswer(job, placement, took, now);
+        placer_.noteAnswer(request, placement, took, now);
     co_return attempted;
 }
 
-Task<void> Dispatcher::prepareSpare(std::shared_ptr<TargetState> target,
-                                    Http::ExchangeOptions options)
+Task<void> Dispatcher::openIdleConnection(std::shared_ptr<TargetState> target,
+                                          Http::ExchangeOptions options)
 {
-    target->isPreparing_ = true;
+    target->isConnecting_ = true;
     co_await Http::prepareConnection(pool_, options);
-    target->isPreparing_ = false;
+    target->isConnecting_ = false;
 }
 
-void Dispatcher::refreshSpares(const TargetBook &book)
+void Dispatcher::refreshSpares(const TargetBook &registry)
 {
     const auto now = steadyNow();
-    for (const auto &[id, target] : book.all()) {
-        if (!target->takesWork() || target->isPreparing_)
+    for (const auto &[id, target] : registry.all()) {
+        if (!target->takesWork() || target->isConnecting_)
             continue;
-        if (placer_.roundTripTo(*target) < dearConnection
-            || !Policy::isSpareWorthwhile(target->use_, longestRestOnce, now))
+        if (placer_.roundTripTo(*target) < slowConnectThreshold
+            || !Policy::isSpareWorthwhile(target->use_, maxIdleTimeNonIdempotent, now))
             continue;
         const auto &address = target->record_.address_;
-        if (pool_.keepFresh(address, longestRest, freshSpare))
+        if (pool_.keepFresh(address, maxIdleTime, idleRefreshAge))
             continue;
         Http::ExchangeOptions options;
         options.address_ = address;
-        options.connectTimeout_ = placer_.connectPatienceFor(*target);
+        options.connectTimeout_ = placer_.connectTimeoutFor(*target);
         options.deadline_ = now + options.connectTimeout_;
-        options.connectionLimit_ = connectionsToTarget;
-        Http::asio::co_spawn(context_, prepareSpare(target, options), Http::asio::detached);
+        options.connectionLimit_ = maxConnectionsPerTarget;
+        Http::asio::co_spawn(context_, openIdleConnection(target, options), Http::asio::detached);
     }
 }
 
-Http::Request Dispatcher::messageFor(const Job &job, const TargetState &target,
+Http::Request Dispatcher::messageFor(const RequestContext &request, const TargetState &target,
                                      SteadyTime now) const
 {
-    Http::Request message = job.incoming_.message_;
+    Http::Request message = request.incoming_.message_;
     Http::stripConnectionFields(message);
-    const auto left = std::chrono::duration_cast<Milliseconds>(job.deadline_ - now);
+    const auto left = std::chrono::duration_cast<Milliseconds>(request.deadline_ - now);
     message.set(viewOf(port_.headers_.timeLeft_),
                 std::to_string(std::max<long long>(1, left.count())));
     // Another target may have taken over the address; it must not run the request.
@@ -292,28 +293,28 @@
     return target.takesWork() && !knowledge_.drained().contains(target.record_.domain_);
 }
 
-void Dispatcher::noteSend(const Job &job, TargetState &target)
+void Dispatcher::noteSend(const RequestContext &request, TargetState &target)
 {
     const auto now = steadyNow();
-    target.lastSend_
-        = {job.id_, now, knowledge_.mirror(StoreTable::Targets).position(), targetsNews_()};
-    if (!target.removed_)
+    target.lastSend_ = {request.id_, now, knowledge_.mirror(StoreTable::Targets).position(),
+                        targetsFreshness_()};
+    if (!target.removedRegistration_)
         return;
     log_.line(Event::RequestSentToMissing)
-        .add("id", job.id_)
+        .add("id", request.id_)
         .add("target", target.record_.id_.value())
-        .add("revision", static_cast<std::int64_t>(target.removed_->revision_))
-        .add("missing_ms",
-             std::chrono::duration_cast<Microseconds>(now - target.removed_->noticedAt_));
+        .add("revision", static_cast<std::int64_t>(target.removedRegistration_->revision_))
+        .add("missing_ms", std::chrono::duration_cast<Microseconds>(
+                               now - target.removedRegistration_->noticedAt_));
 }
 
-Task<void> Dispatcher::askWhetherListening(std::shared_ptr<TargetState> target)
+Task<void> Dispatcher::probeListener(std::shared_ptr<TargetState> target)
 {
     Http::ExchangeOptions options;
     options.address_ = target->record_.address_;
-    options.connectTimeout_ = placer_.connectPatienceFor(*target);
+    options.connectTimeout_ = placer_.connectTimeoutFor(*target);
     options.deadline_ = steadyNow() + options.connectTimeout_;
-    options.connectionLimit_ = connectionsToTarget;
+    options.connectionLimit_ = maxConnectionsPerTarget;
     const auto listening = co_await Http::knock(pool_, options);
     const auto now = steadyNow();
     guard_.noteListening(*target, listening, now);
@@ -323,12 +324,12 @@
 
 void Dispatcher::sweepAbandoned()
 {
-    for (Job *job : jobs_) {
-        if (job->isAbandoned_ || !job->route_ || !job->incoming_.isGone_())
+    for (RequestContext *request : requestsInProgress_) {
+        if (request->isAbandoned_ || !request->route_ || !request->incoming_.isGone_())
             continue;
-        job->isAbandoned_ = true;
-        if (job->route_->isIdempotent_)
-            job->control_.cancel();
+        request->isAbandoned_ = true;
+        if (request->route_->isIdempotent_)
+            request->control_.cancel();
     }
 }
 
@@ -338,9 +339,9 @@
         pool_.dropIdle(address);
 }
 
-void Dispatcher::dropAllIdleConnections(const TargetBook &book)
+void Dispatcher::dropAllIdleConnections(const TargetBook &registry)
 {
-    for (const auto &[id, target] : book.all())
+    for (const auto &[id, target] : registry.all())
         pool_.dropIdle(target->record_.address_);
 }
 
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -50,11 +50,11 @@
     void setInstances(std::size_t instances) { instances_ = std::max<std::size_t>(1, instances); }
 
     /// Sets the function that returns when the targets' rows were last confirmed.
-    void setTargetsNews(std::function<TargetsNews()> news) { targetsNews_ = std::move(news); }
+    void setTargetsNews(std::function<TargetsNews()> news) { targetsFreshness_ = std::move(news); }
 
     /// Opens a new connection to each remote target that is in use and whose idle connections are
     /// about to expire. Policy::isSpareWorthwhile() gives the reason.
-    void refreshSpares(const TargetBook &book);
+    void refreshSpares(const TargetBook &registry);
     /// Closes idle connections to \a addresses, at which other incarnations of targets now listen.
     ///
     /// Without it, a non-idempotent request is sent on a connection to an incarnation that has
@@ -62,9 +62,9 @@
     void dropIdleConnections(const std::vector<Model::Address> &addresses);
     /// Closes idle connections to every target: after a pause of this process the targets may have
     /// closed them.
-    void dropAllIdleConnections(const TargetBook &book);
+    void dropAllIdleConnections(const TargetBook &registry);
 
-    std::size_t inProgress() const { return jobs_.size(); }
+    std::size_t inProgress() const { return requestsInProgress_.size(); }
     const DispatchCounters &counters() const { return counters_; }
 
 private:
@@ -78,28 +78,28 @@
         bool isWithdrawn_ = false;
     };
 
-    std::optional<Http::Response> readRequest(Job &job);
-    Http::Task<Http::Response> carry(Job &job);
-    Http::Task<Attempt> attempt(Job &job, const Placement &placement);
-    Http::Task<void> prepareSpare(std::shared_ptr<TargetState> target,
-                                  Http::ExchangeOptions options);
-    Http::Task<void> askWhetherListening(std::shared_ptr<TargetState> target);
-    void noteCrash(Job &job, const Placement &placement, const Http::ExchangeResult &result,
-                   Model::SteadyTime now);
-    Http::Request messageFor(const Job &job, const TargetState &target,
+    std::optional<Http::Response> readRequest(RequestContext &request);
+    Http::Task<Http::Response> sendWithRetries(RequestContext &request);
+    Http::Task<Attempt> attempt(RequestContext &request, const Placement &placement);
+    Http::Task<void> openIdleConnection(std::shared_ptr<TargetState> target,
+                                        Http::ExchangeOptions options);
+    Http::Task<void> probeListener(std::shared_ptr<TargetState> target);
+    void noteCrash(RequestContext &request, const Placement &placement,
+                   const Http::ExchangeResult &result, Model::SteadyTime now);
+    Http::Request messageFor(const RequestContext &request, const TargetState &target,
                              Model::SteadyTime now) const;
-    Attempt judge(Job &job, const Placement &placement, Model::SteadyTime sentAt,
+    Attempt judge(RequestContext &request, const Placement &placement, Model::SteadyTime sentAt,
                   Http::ExchangeResult result);
     bool maySendTo(const TargetState &target) const;
-    void noteSend(const Job &job, TargetState &target);
-    void noteWithdrawn(Job &job, const TargetState &target, bool wasSent,
+    void noteSend(const RequestContext &request, TargetState &target);
+    void noteWithdrawn(RequestContext &request, const TargetState &target, bool wasSent,
                        Model::SteadyTime chosenAt);
     void noteLoad(TargetState &target, const Http::Response &answer);
-    bool mayTryAgain(const Job &job, const Attempt &attempt, Model::SteadyTime now);
+    bool mayTryAgain(const RequestContext &request, const Attempt &attempt, Model::SteadyTime now);
 
-    Http::Response refuse(Job &job, const Refusal &refusal);
-    Http::Response giveUp(Job &job, const Attempt &attempt);
-    Http::Response deliver(Job &job, const Placement &placement, Attempt attempt);
+    Http::Response refuse(RequestContext &request, const Refusal &refusal);
+    Http::Response failRequest(RequestContext &request, const Attempt &attempt);
+    Http::Response deliver(RequestContext &request, const Placement &placement, Attempt attempt);
 
     Http::asio::io_context &context_;
     const PlatformPort &port_;
@@ -108,10 +108,10 @@
     CrashGuard &guard_;
     Observe::DecisionLog &log_;
     Http::ConnectionPool pool_;
-    std::list<Job *> jobs_;
+    std::list<RequestContext *> requestsInProgress_;
     std::unordered_map<Model::ServiceId, Policy::RetryBudget> retryBudgets_;
     std::size_t instances_ = 1;
-    std::function<TargetsNews()> targetsNews_ = [] {
+    std::function<TargetsNews()> targetsFreshness_ = [] {
         return TargetsNews();
     };
     DispatchCounters counters_;
--- a/Libraries/LibSteering/DispatcherAnswers.cpp
+++ b/Libraries/LibSteering/DispatcherAnswers.cpp
@@ -29,79 +29,82 @@
 
 } // namespace
 
-Http::Response Dispatcher::refuse(Job &job, const Refusal &refusal)
+Http::Response Dispatcher::refuse(RequestContext &request, const Refusal &refusal)
 {
     ++counters_.refused_;
     ++counters_.byCode_[refusal.code_];
     const auto now = steadyNow();
     log_.line(Event::RequestRefused)
-        .add("id", job.id_)
+        .add("id", request.id_)
         .add("code", static_cast<std::int64_t>(Model::number(refusal.code_)))
-        .add("route", job.route_ ? job.route_->id_.value() : "")
-        .add("service", job.service_.value())
+        .add("route", request.route_ ? request.route_->id_.value() : "")
+        .add("service", request.service_.value())
         .add("expected_ms", refusal.expected_)
         .add("goal_ms",
-             job.route_ ? static_cast<std::int64_t>(job.route_->latencyGoal_.count()) : 0)
-        .add("held_ms", std::chrono::duration_cast<Microseconds>(now - job.arrivedAt_))
-        .add("attempts", static_cast<std::int64_t>(job.attempts_))
-        .add("target", job.tried_.empty() ? "" : job.tried_.back().value())
-        .add("target_status", static_cast<std::int64_t>(job.turnedAwayWith_))
+             request.route_ ? static_cast<std::int64_t>(request.route_->latencyGoal_.count()) : 0)
+        .add("held_ms", std::chrono::duration_cast<Microseconds>(now - request.arrivedAt_))
+        .add("attempts", static_cast<std::int64_t>(request.attempts_))
+        .add("target", request.tried_.empty() ? "" : request.tried_.back().value())
+        .add("target_status", static_cast<std::int64_t>(request.rejectionStatus_))
         .add("come_back_ms", static_cast<std::int64_t>(refusal.comeBack_.count()))
-        .add("version", job.table_ ? static_cast<std::int64_t>(job.table_->version().value()) : 0);
-    auto response = Http::refusal({refusal.code_, ""}, job.incoming_.message_.version());
+        .add("version",
+             request.table_ ? static_cast<std::int64_t>(request.table_->version().value()) : 0);
+    auto response = Http::refusal({refusal.code_, ""}, request.incoming_.message_.version());
     if (refusal.comeBack_.count() > 0)
         response.set(http::field::retry_after, secondsText(refusal.comeBack_));
-    response.set(viewOf(port_.headers_.requestId_), job.id_);
+    response.set(viewOf(port_.headers_.requestId_), request.id_);
     return response;
 }
 
-Http::Response Dispatcher::giveUp(Job &job, const Attempt &attempt)
+Http::Response Dispatcher::failRequest(RequestContext &request, const Attempt &attempt)
 {
     if (attempt.outcome_ == Outcome::NotRun) {
-        const auto comeBack = Policy::returnAfter(Microseconds(0), job.route_->latencyGoal_, 0.5);
-        return refuse(job, {attempt.code_, comeBack, Microseconds(0)});
+        const auto comeBack
+            = Policy::returnAfter(Microseconds(0), request.route_->latencyGoal_, 0.5);
+        return refuse(request, {attempt.code_, comeBack, Microseconds(0)});
     }
     ++counters_.unknown_;
     ++counters_.byCode_[attempt.code_];
     const auto now = steadyNow();
-    log_.line(job.isAbandoned_ ? Event::RequestAbandoned : Event::RequestUnknown)
-        .add("id", job.id_)
+    log_.line(request.isAbandoned_ ? Event::RequestAbandoned : Event::RequestUnknown)
+        .add("id", request.id_)
         .add("code", static_cast<std::int64_t>(Model::number(attempt.code_)))
-        .add("route", job.route_->id_.value())
-        .add("service", job.service_.value())
-        .add("target", job.tried_.empty() ? "" : job.tried_.back().value())
-        .add("print", toText(printOf(job, port_.headers_)))
-        .add("attempts", static_cast<std::int64_t>(job.attempts_))
-        .add("held_ms", std::chrono::duration_cast<Microseconds>(now - job.arrivedAt_))
+        .add("route", request.route_->id_.value())
+        .add("service", request.service_.value())
+        .add("target", request.tried_.empty() ? "" : request.tried_.back().value())
+        .add("print", toText(fingerprintFor(request, port_.headers_)))
+        .add("attempts", static_cast<std::int64_t>(request.attempts_))
+        .add("held_ms", std::chrono::duration_cast<Microseconds>(now - request.arrivedAt_))
         .add("deadline_ms",
-             std::chrono::duration_cast<Microseconds>(job.deadline_ - job.arrivedAt_))
-        .add("version", static_cast<std::int64_t>(job.table_->version().value()));
-    auto response = Http::refusal({attempt.code_, ""}, job.incoming_.message_.version());
-    response.set(viewOf(port_.headers_.requestId_), job.id_);
+             std::chrono::duration_cast<Microseconds>(request.deadline_ - request.arrivedAt_))
+        .add("version", static_cast<std::int64_t>(request.table_->version().value()));
+    auto response = Http::refusal({attempt.code_, ""}, request.incoming_.message_.version());
+    response.set(viewOf(port_.headers_.requestId_), request.id_);
     return response;
 }
 
-Http::Response Dispatcher::deliver(Job &job, const Placement &placement, Attempt attempt)
+Http::Response Dispatcher::deliver(RequestContext &request, const Placement &placement,
+                                   Attempt attempt)
 {
     ++counters_.answered_;
     counters_.toHome_ += placement.isHome_ ? 1 : 0;
     counters_.toWarm_ += placement.isKnownWarm_ ? 1 : 0;
-    const auto took = std::chrono::duration_cast<Microseconds>(steadyNow() - job.arrivedAt_);
-    counters_.latency_[job.route_->id_].add(took);
+    const auto took = std::chrono::duration_cast<Microseconds>(steadyNow() - request.arrivedAt_);
+    counters_.latency_[request.route_->id_].add(took);
     log_.line(Event::RequestAnswered)
-        .add("id", job.id_)
+        .add("id", request.id_)
         .add("status", static_cast<std::int64_t>(attempt.answer_->result_int()))
-        .add("route", job.route_->id_.value())
-        .add("service", job.service_.value())
+        .add("route", request.route_->id_.value())
+        .add("service", request.service_.value())
         .add("target", placement.target_->record_.id_.value())
         .add("home", placement.isHome_ ? "yes" : "no")
         .add("warm", placement.isKnownWarm_ ? "yes" : "no")
         .add("load", static_cast<std::int64_t>(placement.load_))
         .add("expected_ms", placement.expected_)
-        .add("goal_ms", static_cast<std::int64_t>(job.route_->latencyGoal_.count()))
+        .add("goal_ms", static_cast<std::int64_t>(request.route_->latencyGoal_.count()))
         .add("took_ms", took)
-        .add("attempts", static_cast<std::int64_t>(job.attempts_))
-        .add("version", static_cast<std::int64_t>(job.table_->version().value()));
+        .add("attempts", static_cast<std::int64_t>(request.attempts_))
+        .add("version", static_cast<std::int64_t>(request.table_->version().value()));
     Http::stripConnectionFields(*attempt.answer_);
     attempt.answer_->prepare_payload();
     return std::move(*attempt.answer_);
--- a/Libraries/LibSteering/DispatcherOutcomes.cpp
+++ b/Libraries/LibSteering/DispatcherOutcomes.cpp
@@ -13,7 +13,7 @@
 
 /// Targets tried while none can be reached: a request that was never sent counts against no budget.
 /// Half of a failure domain may be down at once, so two tries often reach two failed targets.
-constexpr std::size_t mostTries = 4;
+constexpr std::size_t maxTargetTries = 4;
 
 SteadyTime steadyNow()
 {
@@ -27,14 +27,14 @@
 
 } // namespace
 
-void Dispatcher::noteWithdrawn(Job &job, const TargetState &target, bool wasSent,
+void Dispatcher::noteWithdrawn(RequestContext &request, const TargetState &target, bool wasSent,
                                SteadyTime chosenAt)
 {
     ++counters_.withdrawn_;
     if (!wasSent)
-        job.tried_.pop_back();
+        request.tried_.pop_back();
     log_.line(Event::RequestWithdrawn)
-        .add("id", job.id_)
+        .add("id", request.id_)
         .add("target", target.record_.id_.value())
         .add("sent", wasSent ? "in part" : "no")
         .add("chosen_ms_ago", std::chrono::duration_cast<Microseconds>(steadyNow() - chosenAt))
@@ -55,8 +55,8 @@
                             steadyNow());
 }
 
-Dispatcher::Attempt Dispatcher::judge(Job &job, const Placement &placement, SteadyTime sentAt,
-                                      Http::ExchangeResult result)
+Dispatcher::Attempt Dispatcher::judge(RequestContext &request, const Placement &placement,
+                                      SteadyTime sentAt, Http::ExchangeResult result)
 {
     TargetState &target = *placement.target_;
     const auto now = steadyNow();
@@ -65,7 +65,7 @@
     counters_.foreignAnswers_ += static_cast<std::uint64_t>(result.foreignAnswers_);
     if (result.foreignAnswers_ > 0) {
         log_.line(Event::ForeignAnswerDropped)
-            .add("id", job.id_)
+            .add("id", request.id_)
             .add("target", target.record_.id_.value());
     }
     if (!result.answer_) {
@@ -78,13 +78,13 @@
         target.reachability_.isProbed_ = false;
         if (result.isWithdrawn_) {
             attempted.isWithdrawn_ = true;
-            noteWithdrawn(job, target, attempted.wasSent_, sentAt);
+            noteWithdrawn(request, target, attempted.wasSent_, sentAt);
             return attempted;
         }
-        noteCrash(job, placement, result, now);
-        if (!job.isAbandoned_ && (isSilent || !attempted.wasSent_)) {
-            placer_.noteSilence(placement, sentAt, attempted.wasSent_, now);
-        } else if (!job.isAbandoned_) {
+        noteCrash(request, placement, result, now);
+        if (!request.isAbandoned_ && (isSilent || !attempted.wasSent_)) {
+            placer_.noteNoAnswer(placement, sentAt, attempted.wasSent_, now);
+        } else if (!request.isAbandoned_) {
             placer_.noteFailure(placement, now);
         }
         if (!attempted.wasSent_) {
@@ -94,7 +94,7 @@
         }
         return attempted;
     }
-    target.answeredAt_ = now;
+    target.lastAnswerAt_ = now;
     target.hasEnded_ = false;
     Policy::noteReached(target.reachability_);
     noteLoad(target, *result.answer_);
@@ -102,7 +102,7 @@
     const bool isMisdirected = status == http::status::misdirected_request;
     if (isMisdirected || result.answer_->count(viewOf(port_.headers_.notRun_)) > 0) {
         ++counters_.refusedByTargets_;
-        job.turnedAwayWith_ = result.answer_->result_int();
+        request.rejectionStatus_ = result.answer_->result_int();
         attempted.outcome_ = Policy::outcomeOf(Policy::AttemptStage::RefusedByTarget);
         attempted.code_ = ResultCode::TargetRefused;
         if (isMisdirected) {
@@ -118,14 +118,14 @@
     }
     // A 5xx response does not prove that the target processed the request.
     if (status < http::status::internal_server_error)
-        guard_.noteAnswered(job, now);
+        guard_.noteAnswered(request, now);
     attempted.outcome_ = Policy::outcomeOf(Policy::AttemptStage::Answered);
     attempted.answer_ = std::move(result.answer_);
     return attempted;
 }
 
-void Dispatcher::noteCrash(Job &job, const Placement &placement, const Http::ExchangeResult &result,
-                           SteadyTime now)
+void Dispatcher::noteCrash(RequestContext &request, const Placement &placement,
+                           const Http::ExchangeResult &result, SteadyTime now)
 {
     TargetState &target = *placement.target_;
     if (result.stage_ == Http::ExchangeStage::NotConnected) {
@@ -135,23 +135,22 @@
     }
     const bool isBroken = result.code_ == ResultCode::TargetConnectionLost
                           || result.code_ == ResultCode::TruncatedAnswer;
-    if (job.control_.isCancelled()) {
-        guard_.noteBrokenOff(job, placement.target_, now);
-    } else if (isBroken && guard_.noteLost(job, placement.target_, now)) {
-        Http::asio::co_spawn(context_, askWhetherListening(placement.target_),
-                             Http::asio::detached);
+    if (request.control_.isCancelled()) {
+        guard_.noteCancelled(request, placement.target_, now);
+    } else if (isBroken && guard_.noteLost(request, placement.target_, now)) {
+        Http::asio::co_spawn(context_, probeListener(placement.target_), Http::asio::detached);
     }
 }
 
-bool Dispatcher::mayTryAgain(const Job &job, const Attempt &attempt, SteadyTime now)
+bool Dispatcher::mayTryAgain(const RequestContext &request, const Attempt &attempt, SteadyTime now)
 {
-    if (job.isAbandoned_ || now >= job.deadline_)
+    if (request.isAbandoned_ || now >= request.deadline_)
         return false;
-    const auto &route = *job.route_;
+    const auto &route = *request.route_;
     if (!attempt.wasSent_)
-        return job.tried_.size() < mostTries;
-    return Policy::mayRetry(retryBudgets_[job.service_], attempt.outcome_, route.isIdempotent_,
-                            job.attempts_, route.attempts_);
+        return request.tried_.size() < maxTargetTries;
+    return Policy::mayRetry(retryBudgets_[request.service_], attempt.outcome_, route.isIdempotent_,
+                            request.attempts_, route.attempts_);
 }
 
 } // namespace Steering
--- a/Libraries/LibSteering/Job.cpp
+++ b/Libraries/LibSteering/Job.cpp
@@ -9,9 +9,9 @@
     return {text.data(), text.size()};
 }
 
-Policy::RequestText textOf(const Job &job, const HeaderNames &names)
+Policy::RequestText textOf(const RequestContext &request, const HeaderNames &names)
 {
-    const Http::Request &message = job.incoming_.message_;
+    const Http::Request &message = request.incoming_.message_;
     const auto caller
         = textOf(message[Http::beast::string_view(names.caller_.data(), names.caller_.size())]);
     Policy::RequestText text;
@@ -19,24 +19,25 @@
     text.host_ = textOf(message[Http::http::field::host]);
     text.target_ = textOf(message.target());
     text.body_ = message.body();
-    text.caller_ = caller.empty() ? std::string_view(job.incoming_.remoteHost_) : caller;
+    text.caller_ = caller.empty() ? std::string_view(request.incoming_.remoteHost_) : caller;
     return text;
 }
 
 } // namespace
 
-std::uint32_t headOf(Job &job, const HeaderNames &names)
+std::uint32_t fingerprintPrefixFor(RequestContext &request, const HeaderNames &names)
 {
-    if (!job.head_)
-        job.head_ = Policy::headOf(textOf(job, names));
-    return *job.head_;
+    if (!request.cachedPrefix_)
+        request.cachedPrefix_ = Policy::headOf(textOf(request, names));
+    return *request.cachedPrefix_;
 }
 
-const Policy::RequestPrint &printOf(Job &job, const HeaderNames &names)
+const Policy::RequestPrint &fingerprintFor(RequestContext &request, const HeaderNames &names)
 {
-    if (!job.print_)
-        job.print_ = Policy::printOf(textOf(job, names), headOf(job, names));
-    return *job.print_;
+    if (!request.cachedFingerprint_)
+        request.cachedFingerprint_
+            = Policy::printOf(textOf(request, names), fingerprintPrefixFor(request, names));
+    return *request.cachedFingerprint_;
 }
 
 } // namespace Steering
--- a/Libraries/LibSteering/Job.h
+++ b/Libraries/LibSteering/Job.h
@@ -10,7 +10,7 @@
 namespace Steering {
 
 /// State of one request while this instance handles it.
-struct Job
+struct RequestContext
 {
     Http::IncomingRequest incoming_;
     /// Keeps the route alive while the table is replaced.
@@ -27,21 +27,21 @@
     std::vector<Model::TargetId> tried_;
     int attempts_ = 0;
     /// HTTP status with which a target last rejected the request; zero if none did.
-    unsigned turnedAwayWith_ = 0;
+    unsigned rejectionStatus_ = 0;
     Http::ExchangeControl control_;
     bool isAbandoned_ = false;
     /// Computed on first use.
-    std::optional<std::uint32_t> head_;
-    std::optional<Policy::RequestPrint> print_;
+    std::optional<std::uint32_t> cachedPrefix_;
+    std::optional<Policy::RequestPrint> cachedFingerprint_;
     /// Holds the instance's only slot for serialized probes, that is, for requests suspected of
     /// crashing targets.
-    bool isOnTrial_ = false;
+    bool holdsProbeSlot_ = false;
 };
 
 /// Return the request's fingerprint prefix and its fingerprint. \a names are the platform's.
-/// Thread safety: \a job belongs to the calling thread.
-std::uint32_t headOf(Job &job, const HeaderNames &names);
-const Policy::RequestPrint &printOf(Job &job, const HeaderNames &names);
+/// Thread safety: \a request belongs to the calling thread.
+std::uint32_t fingerprintPrefixFor(RequestContext &request, const HeaderNames &names);
+const Policy::RequestPrint &fingerprintFor(RequestContext &request, const HeaderNames &names);
 
 /// The target chosen for a request, and the basis of the choice.
 struct Placement
@@ -54,11 +54,11 @@
     double load_ = 0;
     Model::Microseconds expected_{0};
     /// Upper bound of the time that a healthy target takes.
-    Model::Microseconds latestUsual_{0};
+    Model::Microseconds maxUsualLatency_{0};
 };
 
 /// Time within which an instance expects to receive the table and the targets after its start.
-constexpr Model::Milliseconds comeBackWhenReady{300};
+constexpr Model::Milliseconds retryDelayWhenNotReady{300};
 
 /// Why a request is not sent to any target, and when the caller may retry.
 struct Refusal
--- a/Libraries/LibSteering/Placer.cpp
+++ b/Libraries/LibSteering/Placer.cpp
@@ -13,21 +13,21 @@
 
 /// Round trips assumed before the first connection to a region: the usual ones between failure
 /// domains of one region, and between regions of one continent.
-constexpr Microseconds firstRoundTripNear{2000};
-constexpr Microseconds firstRoundTripFar{60000};
+constexpr Microseconds initialRoundTripInRegion{2000};
+constexpr Microseconds initialRoundTripBetweenRegions{60000};
 
 /// Interval at which a service's slot use is counted; a cold load takes several times as long.
-constexpr Milliseconds slotCountPause{100};
+constexpr Milliseconds slotCountInterval{100};
 
 /// Retry delay if no target takes work: an update about a target takes about this long to arrive.
-constexpr Milliseconds comeBackWithoutTarget{500};
+constexpr Milliseconds retryDelayWithoutTarget{500};
 
 } // namespace
 
-Placer::Placer(const Observe::Settings &settings, const Knowledge &knowledge, TargetBook &book)
+Placer::Placer(const Observe::Settings &settings, const Knowledge &knowledge, TargetBook &registry)
     : settings_(settings)
     , knowledge_(knowledge)
-    , book_(book)
+    , registry_(registry)
 {
 }
 
@@ -42,22 +42,22 @@
     }
     const auto &regions = table->regions();
     const bool isFirst = roundTrips_.size() != regions.size();
-    roundTrips_.resize(regions.size(), firstRoundTripFar);
+    roundTrips_.resize(regions.size(), initialRoundTripBetweenRegions);
     for (std::size_t i = 0; i < regions.size(); ++i) {
         if (regions[i].id_ != settings_.region_)
             continue;
         ownRegion_ = i;
         if (isFirst)
-            roundTrips_[i] = firstRoundTripNear;
+            roundTrips_[i] = initialRoundTripInRegion;
     }
 }
 
 Model::ServiceId Placer::chooseService(const Model::Route &route)
 {
     RouteState &state = routes_[route.id_];
-    if (state.turns_.owed_.size() != route.parts_.size())
-        state.turns_.owed_.assign(route.parts_.size(), 0);
-    return route.parts_[Policy::nextPart(state.turns_, route.parts_)].service_;
+    if (state.weightedSplit_.owed_.size() != route.parts_.size())
+        state.weightedSplit_.owed_.assign(route.parts_.size(), 0);
+    return route.parts_[Policy::nextPart(state.weightedSplit_, route.parts_)].service_;
 }
 
 Placer::RouteWork &Placer::workOf(const Model::Route &route, const Model::ServiceId &service)
@@ -79,20 +79,21 @@
            != route.allowedRegions_.end();
 }
 
-Placer::ObjectView Placer::viewOf(const Job &job, const ServiceTargets &targets) const
+Placer::ObjectView Placer::viewOf(const RequestContext &request,
+                                  const ServiceTargets &targets) const
 {
     ObjectView view;
-    view.draws_ = Policy::domainDraws(job.object_, book_.domainSeeds());
+    view.draws_ = Policy::domainDraws(request.object_, registry_.domainSeeds());
     std::vector<double> shares = targets.homes_[ownDomain_];
     for (std::size_t i = 0; i < shares.size(); ++i) {
-        if (!isAllowed(*job.route_, i))
+        if (!isAllowed(*request.route_, i))
             shares[i] = 0;
     }
     view.home_ = Policy::homeOf(view.draws_, shares);
     return view;
 }
 
-std::size_t Placer::holdersOf(const TargetState &target) const
+std::size_t Placer::entriesSharing(const TargetState &target) const
 {
     if (target.region_ < entries_.size() && entries_[target.region_] > 0)
         return entries_[target.region_];
@@ -102,20 +103,22 @@
     return std::max<std::size_t>(1, all);
 }
 
-bool Placer::mayTake(const Job &job, const TargetState &target, SteadyTime now) const
+bool Placer::mayTake(const RequestContext &request, const TargetState &target, SteadyTime now) const
 {
     if (!target.takesWork() || !Policy::mayTry(target.reachability_, now))
         return false;
-    if (std::find(job.tried_.begin(), job.tried_.end(), target.record_.id_) != job.tried_.end())
+    if (std::find(request.tried_.begin(), request.tried_.end(), target.record_.id_)
+        != request.tried_.end())
         return false;
     if (!target.isCold(now))
         return true;
     // A cold target's rate limit is divided among the entries of its region only.
     const bool isOthers = target.region_ != ownRegion_ && target.region_ < entries_.size()
                           && entries_[target.region_] > 0;
-    const auto *service = job.table_->service(job.service_);
+    const auto *service = request.table_->service(request.service_);
     return !isOthers && service
-           && Policy::hasRampRoom(target.ramp_, service->coldLimit_, holdersOf(target), now);
+           && Policy::hasRampRoom(target.slowStart_, service->coldLimit_, entriesSharing(target),
+                                  now);
 }
 
 Microseconds Placer::meanTimeOf(const Model::ServiceId &service) const
@@ -124,10 +127,11 @@
     return Microseconds(mean == serviceMeanUs_.end() ? 0 : static_cast<long long>(mean->second));
 }
 
-double Placer::useOf(const Model::ServiceId &service, const ServiceTargets &targets, SteadyTime now)
+double Placer::slotUseOf(const Model::ServiceId &service, const ServiceTargets &targets,
+                         SteadyTime now)
 {
     SlotUse &use = use_[service];
-    if (now - use.countedAt_ < slotCountPause)
+    if (now - use.countedAt_ < slotCountInterval)
         return use.use_;
     const auto workTime = meanTimeOf(service);
     double taken = 0;
@@ -145,21 +149,22 @@
     return use.use_;
 }
 
-bool Placer::isKnownWarm(const Job &job, const TargetState &target, SteadyTime now) const
+bool Placer::isKnownWarm(const RequestContext &request, const TargetState &target,
+                         SteadyTime now) const
 {
-    if (!job.hasObject_)
+    if (!request.hasObject_)
         return true;
-    const auto sent = target.objects_.find(job.object_);
+    const auto sent = target.objects_.find(request.object_);
     if (sent == target.objects_.end())
         return false;
-    const auto memory = memory_.find(job.service_);
+    const auto memory = memory_.find(request.service_);
     return memory == memory_.end() || now - sent->second < memory->second.kept_;
 }
 
-Policy::Candidate Placer::candidateFor(const Job &job, const TargetState &target,
+Policy::Candidate Placer::candidateFor(const RequestContext &request, const TargetState &target,
                                        SteadyTime now) const
 {
-    const auto workTime = meanTimeOf(job.service_);
+    const auto workTime = meanTimeOf(request.service_);
     Policy::Candidate candidate;
     candidate.slots_ = static_cast<double>(target.record_.slots_.value());
     const auto own = static_cast<double>(target.ownInFlight_);
@@ -169,18 +174,18 @@
     candidate.roundTrip_ = roundTrips_[target.region_];
     const auto pace = Policy::paceAt(target.pace_, now);
     candidate.slowness_ = pace.slowness_;
-    if (!target.sent_.empty()) {
-        const SentRequest &oldest = target.sent_.front();
+    if (!target.sentRequests_.empty()) {
+        const SentRequest &oldest = target.sentRequests_.front();
         const auto age = std::chrono::duration_cast<Microseconds>(now - oldest.at_);
-        candidate.slowness_
-            = std::max(candidate.slowness_, Policy::slownessBySilence(age, oldest.latestUsual_));
+        candidate.slowness_ = std::max(candidate.slowness_,
+                                       Policy::slownessBySilence(age, oldest.maxUsualLatency_));
     }
     candidate.failureRate_ = pace.failureRate_;
-    candidate.isKnownWarm_ = isKnownWarm(job, target, now);
+    candidate.isKnownWarm_ = isKnownWarm(request, target, now);
     return candidate;
 }
 
-Placer::Owners Placer::ownersAmong(const Job &job,
+Placer::Owners Placer::ownersAmong(const RequestContext &request,
                                    const std::vector<std::shared_ptr<TargetState>> &targets,
                                    SteadyTime now) const
 {
@@ -188,9 +193,9 @@
     std::uint64_t firstScore = 0;
     std::uint64_t secondScore = 0;
     for (const auto &target : targets) {
-        if (!mayTake(job, *target, now))
+        if (!mayTake(request, *target, now))
             continue;
-        const std::uint64_t score = Policy::ownerScore(job.object_, target->seed_);
+        const std::uint64_t score = Policy::ownerScore(request.object_, target->seed_);
         if (!owners.first_ || score > firstScore) {
             owners.second_ = owners.first_;
             secondScore = firstScore;
@@ -204,16 +209,17 @@
     return owners;
 }
 
-void Placer::addOwners(const Job &job, const std::vector<std::shared_ptr<TargetState>> &targets,
-                       bool isHome, bool isHomeOfOthers, SteadyTime now)
+void Placer::addOwners(const RequestContext &request,
+                       const std::vector<std::shared_ptr<TargetState>> &targets, bool isHome,
+                       bool isHomeOfOthers, SteadyTime now)
 {
-    const Owners owners = ownersAmong(job, targets, now);
-    const auto &others = workOf(*job.route_, job.service_).othersWarmth_;
+    const Owners owners = ownersAmong(request, targets, now);
+    const auto &others = workOf(*request.route_, request.service_).othersWarmth_;
     // If the first owner stays full, the second one takes the excess.
     const bool isFirstFull
         = owners.first_ && Policy::isLastinglyFull((*owners.first_)->sharedLoad_, now);
     const auto add = [&](const std::shared_ptr<TargetState> &target, bool isOwner) {
-        Policy::Candidate candidate = candidateFor(job, *target, now);
+        Policy::Candidate candidate = candidateFor(request, *target, now);
         candidate.isHome_ = isOwner && isHome;
         candidate.isHomeOfOthers_ = isOwner && isHomeOfOthers && !isHome;
         candidate.isOverflow_ = !isOwner && isHome && isFirstFull;
@@ -230,25 +236,26 @@
         add(*owners.second_, false);
 }
 
-void Placer::gather(const Job &job, const ServiceTargets &targets, SteadyTime now)
+void Placer::gatherCandidates(const RequestContext &request, const ServiceTargets &targets,
+                              SteadyTime now)
 {
     candidates_.clear();
     candidateTargets_.clear();
-    const ObjectView view = viewOf(job, targets);
+    const ObjectView view = viewOf(request, targets);
     for (std::size_t i = 0; i < targets.byDomain_.size(); ++i) {
-        if (targets.byDomain_[i].empty() || !isAllowed(*job.route_, i))
+        if (targets.byDomain_[i].empty() || !isAllowed(*request.route_, i))
             continue;
         const bool isHome = i == view.home_;
         // Callers close to that domain may also send the object there.
         const bool isHomeOfOthers = Policy::homeOf(view.draws_, targets.homes_[i]) == i;
-        addOwners(job, targets.byDomain_[i], isHome, isHomeOfOthers, now);
+        addOwners(request, targets.byDomain_[i], isHome, isHomeOfOthers, now);
     }
-    limitSpill(job, view.home_, now);
+    limitSpillOver(request, view.home_, now);
 }
 
-void Placer::limitSpill(const Job &job, std::size_t home, SteadyTime now)
+void Placer::limitSpillOver(const RequestContext &request, std::size_t home, SteadyTime now)
 {
-    const auto &domains = job.table_->domains();
+    const auto &domains = request.table_->domains();
     if (home >= domains.size())
         return;
     std::size_t inHomeRegion = 0;
@@ -257,9 +264,10 @@
         candidates_[i].leavesHomeRegion_ = domains[domain].region_ != domains[home].region_;
         inHomeRegion += candidates_[i].leavesHomeRegion_ ? 0 : 1;
     }
-    const auto *service = job.table_->service(job.service_);
+    const auto *service = request.table_->service(request.service_);
     // If the home region has no candidate, the request can only be served in another region.
-    if (inHomeRegion == 0 || !service || Policy::maySpill(spill_, service->regionShiftCap_, now))
+    if (inHomeRegion == 0 || !service
+        || Policy::maySpill(spillOver_, service->regionShiftCap_, now))
         return;
     std::size_t kept = 0;
     for (std::size_t i = 0; i < candidates_.size(); ++i) {
@@ -273,38 +281,38 @@
     candidateTargets_.resize(kept);
 }
 
-std::variant<Placement, Refusal> Placer::place(const Job &job, SteadyTime now)
+std::variant<Placement, Refusal> Placer::place(const RequestContext &request, SteadyTime now)
 {
     if (!knowledge_.mirror(StoreTable::Targets).isKnown())
-        return Refusal{ResultCode::NotReady, comeBackWhenReady, Microseconds(0)};
-    const ServiceTargets *targets = book_.service(job.service_);
+        return Refusal{ResultCode::NotReady, retryDelayWhenNotReady, Microseconds(0)};
+    const ServiceTargets *targets = registry_.service(request.service_);
     if (targets) {
-        gather(job, *targets, now);
+        gatherCandidates(request, *targets, now);
     } else {
         candidates_.clear();
     }
-    const auto &route = *job.route_;
-    const Policy::WorkTimes &times = workOf(route, job.service_).times_;
+    const auto &route = *request.route_;
+    const Policy::WorkTimes &times = workOf(route, request.service_).times_;
     Policy::WorkEstimate work;
     work.warm_ = Microseconds(static_cast<long long>(times.warmUs_));
     work.cold_ = Microseconds(static_cast<long long>(times.coldUs_));
-    const auto mean = meanTimeOf(job.service_);
+    const auto mean = meanTimeOf(request.service_);
     work.serviceMean_ = mean.count() > 0 ? mean : work.warm_;
-    const double use = targets ? useOf(job.service_, *targets, now) : 0;
+    const double use = targets ? slotUseOf(request.service_, *targets, now) : 0;
     const auto choice = Policy::chooseAmong(candidates_, work, use);
     if (!choice)
-        return Refusal{ResultCode::NoTarget, comeBackWithoutTarget, Microseconds(0)};
+        return Refusal{ResultCode::NoTarget, retryDelayWithoutTarget, Microseconds(0)};
 
     Policy::AdmissionCase admission;
     admission.expected_ = choice->expected_;
-    admission.left_ = std::chrono::duration_cast<Microseconds>(job.deadline_ - now);
+    admission.left_ = std::chrono::duration_cast<Microseconds>(request.deadline_ - now);
     admission.goalLeft_
-        = std::chrono::duration_cast<Microseconds>(job.arrivedAt_ + route.latencyGoal_ - now);
+        = std::chrono::duration_cast<Microseconds>(request.arrivedAt_ + route.latencyGoal_ - now);
     admission.priority_ = route.priority_;
-    const auto verdict = Policy::judgeAdmission(admission, route.latencyGoal_);
-    if (verdict != Policy::AdmissionVerdict::Take) {
+    const auto admitted = Policy::judgeAdmission(admission, route.latencyGoal_);
+    if (admitted != Policy::AdmissionVerdict::Take) {
         const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
-        const bool isTooLate = verdict == Policy::AdmissionVerdict::TooLate;
+        const bool isTooLate = admitted == Policy::AdmissionVerdict::TooLate;
         return Refusal{isTooLate ? ResultCode::WouldBeLate : ResultCode::OverCapacity,
                        Policy::returnAfter(choice->expected_, route.latencyGoal_, draw),
                        choice->expected_};
@@ -317,14 +325,14 @@
     placement.isKnownWarm_ = chosen.isKnownWarm_;
     placement.load_ = chosen.load_;
     placement.expected_ = choice->expected_;
-    placement.latestUsual_ = Policy::latestUsualTime(chosen, work);
+    placement.maxUsualLatency_ = Policy::latestUsualTime(chosen, work);
     Policy::noteTry(placement.target_->reachability_);
     Policy::noteUse(placement.target_->use_, now);
-    Policy::countRequest(spill_, chosen.leavesHomeRegion_, now);
+    Policy::countRequest(spillOver_, chosen.leavesHomeRegion_, now);
     TargetState &target = *placement.target_;
     if (target.isCold(now)) {
-        const auto *service = job.table_->service(job.service_);
-        Policy::takeFromRamp(target.ramp_, service->coldLimit_, holdersOf(target), now);
+        const auto *service = request.table_->service(request.service_);
+        Policy::takeFromRamp(target.slowStart_, service->coldLimit_, entriesSharing(target), now);
     }
     return placement;
 }
--- a/Libraries/LibSteering/Placer.h
+++ b/Libraries/LibSteering/Placer.h
@@ -14,7 +14,7 @@
 class Placer
 {
 public:
-    Placer(const Observe::Settings &settings, const Knowledge &knowledge, TargetBook &book);
+    Placer(const Observe::Settings &settings, const Knowledge &knowledge, TargetBook &registry);
 
     /// Sets, for each of the table's regions, how many entries run there.
     void setEntries(std::vector<std::size_t> entries) { entries_ = std::move(entries); }
@@ -24,12 +24,12 @@
     /// Chooses the service for a request by its route's weights.
     Model::ServiceId chooseService(const Model::Route &route);
 
-    /// Chooses a target for the next attempt of \a job, or returns why there is none.
-    std::variant<Placement, Refusal> place(const Job &job, Model::SteadyTime now);
+    /// Chooses a target for the next attempt of \a request, or returns why there is none.
+    std::variant<Placement, Refusal> place(const RequestContext &request, Model::SteadyTime now);
 
     /// Records an answer or a failure of the target that a request was placed on.
-    void noteAnswer(const Job &job, const Placement &placement, Model::Microseconds took,
-                    Model::SteadyTime now);
+    void noteAnswer(const RequestContext &request, const Placement &placement,
+                    Model::Microseconds took, Model::SteadyTime now);
     void noteFailure(const Placement &placement, Model::SteadyTime now);
     /// Records that no answer arrived to a request that was sent at \a sentAt, or that it could not
     /// be sent.
@@ -37,8 +37,8 @@
     /// Without it, the penalty of a lost request decays within seconds; then several requests go
     /// there at once and are lost too, for as long as the target is registered. A target that
     /// answers no request is probed by one request at a time.
-    void noteSilence(const Placement &placement, Model::SteadyTime sentAt, bool wasSent,
-                     Model::SteadyTime now);
+    void noteNoAnswer(const Placement &placement, Model::SteadyTime sentAt, bool wasSent,
+                      Model::SteadyTime now);
     /// Returns the round trip to \a target as measured for its region. Precondition: the target
     /// takes work.
     Model::Microseconds roundTripTo(const TargetState &target) const
@@ -46,7 +46,7 @@
         return roundTrips_[target.region_];
     }
     /// Returns the connect timeout for \a target.
-    Model::Milliseconds connectPatienceFor(const TargetState &target) const;
+    Model::Milliseconds connectTimeoutFor(const TargetState &target) const;
     /// Records how long a connection to \a target took to open: one round trip.
     void noteConnect(const TargetState &target, Model::Microseconds took);
 
@@ -67,7 +67,7 @@
 
     struct RouteState
     {
-        Policy::PartTurns turns_;
+        Policy::PartTurns weightedSplit_;
         std::unordered_map<Model::ServiceId, RouteWork> work_;
     };
 
@@ -87,29 +87,34 @@
         const std::shared_ptr<TargetState> *second_ = nullptr;
     };
 
-    ObjectView viewOf(const Job &job, const ServiceTargets &targets) const;
-    void gather(const Job &job, const ServiceTargets &targets, Model::SteadyTime now);
-    void limitSpill(const Job &job, std::size_t home, Model::SteadyTime now);
-    Owners ownersAmong(const Job &job, const std::vector<std::shared_ptr<TargetState>> &targets,
+    ObjectView viewOf(const RequestContext &request, const ServiceTargets &targets) const;
+    void gatherCandidates(const RequestContext &request, const ServiceTargets &targets,
+                          Model::SteadyTime now);
+    void limitSpillOver(const RequestContext &request, std::size_t home, Model::SteadyTime now);
+    Owners ownersAmong(const RequestContext &request,
+                       const std::vector<std::shared_ptr<TargetState>> &targets,
                        Model::SteadyTime now) const;
-    void addOwners(const Job &job, const std::vector<std::shared_ptr<TargetState>> &targets,
-                   bool isHome, bool isHomeOfOthers, Model::SteadyTime now);
-    Policy::Candidate candidateFor(const Job &job, const TargetState &target,
+    void addOwners(const RequestContext &request,
+                   const std::vector<std::shared_ptr<TargetState>> &targets, bool isHome,
+                   bool isHomeOfOthers, Model::SteadyTime now);
+    Policy::Candidate candidateFor(const RequestContext &request, const TargetState &target,
                                    Model::SteadyTime now) const;
     /// Returns the mean processing time of the service's requests, or zero before the first one.
     Model::Microseconds meanTimeOf(const Model::ServiceId &service) const;
     /// Returns the fraction of the service's slots that is in use.
-    double useOf(const Model::ServiceId &service, const ServiceTargets &targets,
-                 Model::SteadyTime now);
-    bool isKnownWarm(const Job &job, const TargetState &target, Model::SteadyTime now) const;
-    bool mayTake(const Job &job, const TargetState &target, Model::SteadyTime now) const;
+    double slotUseOf(const Model::ServiceId &service, const ServiceTargets &targets,
+                     Model::SteadyTime now);
+    bool isKnownWarm(const RequestContext &request, const TargetState &target,
+                     Model::SteadyTime now) const;
+    bool mayTake(const RequestContext &request, const TargetState &target,
+                 Model::SteadyTime now) const;
     RouteWork &workOf(const Model::Route &route, const Model::ServiceId &service);
-    std::size_t holdersOf(const TargetState &target) const;
+    std::size_t entriesSharing(const TargetState &target) const;
     bool isAllowed(const Model::Route &route, std::size_t domain) const;
 
     const Observe::Settings &settings_;
     const Knowledge &knowledge_;
-    TargetBook &book_;
+    TargetBook &registry_;
     std::vector<std::size_t> entries_;
     std::size_t ownDomain_ = 0;
     std::size_t ownRegion_ = 0;
@@ -123,7 +128,7 @@
     /// Refilled for each request; kept to reuse the allocation.
     std::vector<Policy::Candidate> candidates_;
     std::vector<std::shared_ptr<TargetState>> candidateTargets_;
-    Policy::SpillMeter spill_;
+    Policy::SpillMeter spillOver_;
     std::mt19937_64 random_{std::random_device()()};
 };
 
--- a/Libraries/LibSteering/PlacerLearning.cpp
+++ b/Libraries/LibSteering/PlacerLearning.cpp
@@ -17,38 +17,38 @@
 constexpr double serviceMeanWeight = 0.02;
 
 /// Objects tracked for each target; targets themselves keep a few dozen loaded.
-constexpr std::size_t mostObjects = 256;
+constexpr std::size_t maxTrackedObjects = 256;
 
 } // namespace
 
-void Placer::noteAnswer(const Job &job, const Placement &placement, Microseconds took,
-                        SteadyTime now)
+void Placer::noteAnswer(const RequestContext &request, const Placement &placement,
+                        Microseconds took, SteadyTime now)
 {
     TargetState &target = *placement.target_;
     const auto roundTrip = roundTrips_[target.region_];
     const auto worked = std::max(took - roundTrip, Microseconds(1));
-    const auto expected = std::max(placement.latestUsual_ - roundTrip, Microseconds(1));
-    target.answeredAt_ = now;
+    const auto expected = std::max(placement.maxUsualLatency_ - roundTrip, Microseconds(1));
+    target.lastAnswerAt_ = now;
     Policy::noteReached(target.reachability_);
     Policy::learnAnswer(target.pace_, worked, expected, now);
 
     std::optional<SteadyTime> sentBefore;
-    if (job.hasObject_) {
-        const auto sent = target.objects_.find(job.object_);
+    if (request.hasObject_) {
+        const auto sent = target.objects_.find(request.object_);
         if (sent != target.objects_.end())
             sentBefore = sent->second;
-        if (target.objects_.size() >= mostObjects)
+        if (target.objects_.size() >= maxTrackedObjects)
             target.objects_.clear();
-        target.objects_[job.object_] = now;
+        target.objects_[request.object_] = now;
     }
     // The time of a request that waited for a slot is not its processing time.
     const bool hadSlot = placement.load_ + 1 <= static_cast<double>(target.record_.slots_.value());
     if (!hadSlot || target.isCold(now))
         return;
-    RouteWork &work = workOf(*job.route_, job.service_);
+    RouteWork &work = workOf(*request.route_, request.service_);
     if (sentBefore) {
         const auto age = std::chrono::duration_cast<Milliseconds>(now - *sentBefore);
-        Policy::learnKept(memory_[job.service_], age, Policy::looksWarm(work.times_, worked));
+        Policy::learnKept(memory_[request.service_], age, Policy::looksWarm(work.times_, worked));
     }
     auto &others = work.othersWarmth_;
     if (!placement.isKnownWarm_ && placement.isHome_)
@@ -57,7 +57,7 @@
         Policy::learnWarmth(others.elsewhere_, work.times_, worked);
     Policy::learnWorkTime(work.times_, worked, false);
     const auto value = static_cast<double>(worked.count());
-    const auto [mean, isFirst] = serviceMeanUs_.emplace(job.service_, value);
+    const auto [mean, isFirst] = serviceMeanUs_.emplace(request.service_, value);
     if (!isFirst)
         mean->second += (value - mean->second) * serviceMeanWeight;
 }
@@ -67,18 +67,18 @@
     Policy::learnFailure(placement.target_->pace_, now);
 }
 
-void Placer::noteSilence(const Placement &placement, SteadyTime sentAt, bool wasSent,
-                         SteadyTime now)
+void Placer::noteNoAnswer(const Placement &placement, SteadyTime sentAt, bool wasSent,
+                          SteadyTime now)
 {
     TargetState &target = *placement.target_;
     noteFailure(placement, now);
     // One lost answer does not make a target unreachable if it answered another request since.
-    const bool hasAnsweredSince = target.answeredAt_ >= sentAt;
+    const bool hasAnsweredSince = target.lastAnswerAt_ >= sentAt;
     if (!wasSent || !hasAnsweredSince)
         Policy::noteUnreachable(target.reachability_, now);
 }
 
-Milliseconds Placer::connectPatienceFor(const TargetState &target) const
+Milliseconds Placer::connectTimeoutFor(const TargetState &target) const
 {
     return Policy::connectPatience(roundTrips_[target.region_]);
 }
--- a/Libraries/LibSteering/TargetBook.cpp
+++ b/Libraries/LibSteering/TargetBook.cpp
@@ -18,7 +18,7 @@
 void TargetBook::update(SteadyTime now, const Policy::StoreEvidence &evidence)
 {
     for (const auto &[key, row] : knowledge_.mirror(StoreTable::Targets).rows())
-        take(row, now);
+        applyRow(row, now);
     forgetRemovals(now);
     std::erase_if(unreadable_, [&](const auto &entry) {
         return !knowledge_.mirror(StoreTable::Targets).rows().contains(entry.first);
@@ -26,30 +26,32 @@
     noteMissing(now, evidence);
     findSuccessors();
     for (auto &[id, target] : targets_)
-        findPlace(*target);
-    arrange();
+        resolveDomain(*target);
+    rebuildServices();
 }
 
 namespace {
 
-/// Returns whether \a record is from a later incarnation than \a held. Targets that do not report
-/// their start time are compared by their report count, which restarts with each incarnation.
-bool isLaterRun(const Model::TargetRecord &record, const Model::TargetRecord &held)
+/// Returns whether \a record is from a later incarnation than \a current. Targets that do not
+/// report their start time are compared by their report count, which restarts with each
+/// incarnation.
+bool isLaterIncarnation(const Model::TargetRecord &record, const Model::TargetRecord &current)
 {
-    if (record.incarnation_ != held.incarnation_)
-        return record.incarnation_ > held.incarnation_;
-    const bool isUntold = record.incarnation_ == Model::Incarnation();
-    return isUntold && record.reports_ < held.reports_;
+    if (record.incarnation_ != current.incarnation_)
+        return record.incarnation_ > current.incarnation_;
+    const bool hasNoStartTime = record.incarnation_ == Model::Incarnation();
+    return hasNoStartTime && record.reports_ < current.reports_;
 }
 
 /// Returns whether \a target registered after \a other, a different target at the same address.
 bool isAfter(const TargetState &target, const TargetState &other)
 {
-    const auto began = target.record_.incarnation_;
-    const auto otherBegan = other.record_.incarnation_;
-    const bool areTold = began != Model::Incarnation() && otherBegan != Model::Incarnation();
-    if (areTold && began != otherBegan)
-        return began > otherBegan;
+    const auto startTime = target.record_.incarnation_;
+    const auto otherStartTime = other.record_.incarnation_;
+    const bool haveStartTimes
+        = startTime != Model::Incarnation() && otherStartTime != Model::Incarnation();
+    if (haveStartTimes && startTime != otherStartTime)
+        return startTime > otherStartTime;
     return target.firstRevision_ > other.firstRevision_;
 }
 
@@ -59,7 +61,7 @@
 {
     const auto known = targets_.find(Model::TargetId(row.key_));
     if (known != targets_.end())
-        known->second->isNamed_ = false;
+        known->second->isRegistrationReadable_ = false;
     const auto [place, isNew] = unreadable_.insert_or_assign(row.key_, row.revision_);
     log_.line(Event::TargetUnreadable)
         .add("target", row.key_)
@@ -71,7 +73,7 @@
 std::shared_ptr<TargetState> TargetBook::stateFor(const Model::TargetRecord &record)
 {
     auto &target = targets_[record.id_];
-    const bool isRestarted = target && isLaterRun(record, target->record_);
+    const bool isRestarted = target && isLaterIncarnation(record, target->record_);
     if (isRestarted) {
         restarted_.push_back(target->record_.address_);
         log_.line(Event::TargetRestarted)
@@ -87,13 +89,13 @@
     return target;
 }
 
-void TargetBook::take(const Platform::StoredRow &row, SteadyTime now)
+void TargetBook::applyRow(const Platform::StoredRow &row, SteadyTime now)
 {
     const Model::TargetId id(row.key_);
     const auto known = targets_.find(id);
     const bool isNew = known == targets_.end();
     if (!isNew && row.revision_ <= known->second->revision_) {
-        known->second->removed_.reset();
+        known->second->removedRegistration_.reset();
         return;
     }
     const auto refused = unreadable_.find(row.key_);
@@ -107,7 +109,7 @@
     unreadable_.erase(row.key_);
     if (!isNew && record->incarnation_ < known->second->record_.incarnation_) {
         known->second->revision_ = row.revision_;
-        known->second->removed_.reset();
+        known->second->removedRegistration_.reset();
         log_.line(Event::TargetOutdated).add("target", row.key_);
         return;
     }
@@ -120,14 +122,14 @@
     // An incarnation that is leaving stays so, even if an older row arrives later.
     target->record_.isLeaving_ = record->isLeaving_ || wasLeaving;
     target->revision_ = row.revision_;
-    target->isNamed_ = true;
-    target->removed_.reset();
+    target->isRegistrationReadable_ = true;
+    target->removedRegistration_.reset();
     if (record->coldFor_.count() > 0) {
         target->coldUntil_ = now + record->coldFor_;
         // A cold target has lost its loaded objects.
         target->objects_.clear();
         if (!wasCold)
-            Policy::startRamp(target->ramp_, now);
+            Policy::startRamp(target->slowStart_, now);
     }
     log_.line(isNew ? Event::TargetAdded : Event::TargetChanged)
         .add("target", id.value())
@@ -151,7 +153,7 @@
 {
     std::map<Model::Address, std::shared_ptr<const TargetState>> latest;
     for (const auto &[id, target] : targets_) {
-        if (!target->isNamed_ || target->isReplaced_)
+        if (!target->isRegistrationReadable_ || target->isReplaced_)
             continue;
         auto &known = latest[target->record_.address_];
         if (!known || isAfter(*target, *known))
@@ -161,9 +163,9 @@
         const auto found = latest.find(target->record_.address_);
         const bool isLatest = found == latest.end() || found->second == target;
         const auto successor = isLatest ? nullptr : found->second;
-        const bool isNews = successor && successor != target->successor_;
+        const bool isNewSuccessor = successor && successor != target->successor_;
         target->successor_ = successor;
-        if (!isNews)
+        if (!isNewSuccessor)
             continue;
         restarted_.push_back(target->record_.address_);
         log_.line(Event::TargetGone)
@@ -173,9 +175,9 @@
     }
 }
 
-void TargetBook::findPlace(TargetState &target) const
+void TargetBook::resolveDomain(TargetState &target) const
 {
-    target.hasPlace_ = false;
+    target.hasKnownDomain_ = false;
     const auto &table = knowledge_.table();
     if (!table)
         return;
@@ -189,7 +191,7 @@
                 target.region_ = j;
         }
         target.domain_ = i;
-        target.hasPlace_ = true;
+        target.hasKnownDomain_ = true;
     }
 }
 
@@ -202,19 +204,19 @@
 
 } // namespace
 
-void TargetBook::arrange()
+void TargetBook::rebuildServices()
 {
     services_.clear();
     byShortName_.clear();
     domainSeeds_.clear();
-    replaced_ = 0;
+    replacedCount_ = 0;
     const auto &table = knowledge_.table();
     if (!table)
         return;
     for (const auto &domain : table->domains())
         domainSeeds_.push_back(Policy::seedOf(domain.id_.value()));
     for (const auto &[id, target] : targets_) {
-        replaced_ += target->isReplaced_ ? 1 : 0;
+        replacedCount_ += target->isReplaced_ ? 1 : 0;
         const bool isDrained = knowledge_.drained().contains(target->record_.domain_);
         if (!target->takesWork() || isDrained)
             continue;
--- a/Libraries/LibSteering/TargetBook.h
+++ b/Libraries/LibSteering/TargetBook.h
@@ -18,16 +18,16 @@
 {
     Model::SteadyTime at_;
     /// A healthy target answers within this time.
-    Model::Microseconds latestUsual_{0};
+    Model::Microseconds maxUsualLatency_{0};
 };
 
 /// When the targets' rows were last confirmed to this instance.
 struct TargetsNews
 {
     /// The store answered a call for them.
-    Model::SteadyTime fromStore_ = Model::longAgo;
+    Model::SteadyTime storeConfirmedAt_ = Model::longAgo;
     /// A peer sent an update, and no live peer was known to have a newer revision.
-    Model::SteadyTime fromPeers_ = Model::longAgo;
+    Model::SteadyTime peersConfirmedAt_ = Model::longAgo;
 };
 
 /// The last request that was sent to a target, and the revision and freshness of the target rows at
@@ -36,8 +36,8 @@
 {
     std::string request_;
     Model::SteadyTime at_ = Model::longAgo;
-    Platform::Revision known_;
-    TargetsNews news_;
+    Platform::Revision knownRevision_;
+    TargetsNews freshness_;
 };
 
 /// One incarnation of a target, with the local observations of it.
@@ -51,28 +51,28 @@
     /// used.
     std::size_t domain_ = 0;
     std::size_t region_ = 0;
-    bool hasPlace_ = false;
+    bool hasKnownDomain_ = false;
     /// Seed of the target's rank among others; the same on every instance.
     std::uint64_t seed_ = 0;
 
     std::int64_t ownInFlight_ = 0;
     /// The requests in progress, oldest first.
-    std::list<SentRequest> sent_;
+    std::list<SentRequest> sentRequests_;
     LastSend lastSend_;
     Policy::OthersLoad othersLoad_;
     Policy::SharedLoad sharedLoad_;
 
     Policy::TargetPace pace_;
-    Policy::ColdRamp ramp_;
+    Policy::ColdRamp slowStart_;
     Model::SteadyTime coldUntil_;
     Policy::Reachability reachability_;
     /// When it last answered any request.
-    Model::SteadyTime answeredAt_ = Model::longAgo;
+    Model::SteadyTime lastAnswerAt_ = Model::longAgo;
     Policy::TargetUse use_;
     /// An idle connection is being opened in advance.
-    bool isPreparing_ = false;
+    bool isConnecting_ = false;
     /// Its registration can be read; one that another writer has overwritten names no target.
-    bool isNamed_ = true;
+    bool isRegistrationReadable_ = true;
     /// It answered that it is another incarnation than the expected one.
     bool isReplaced_ = false;
     /// The target that later registered at the same address; null if there is none.
@@ -80,13 +80,13 @@
     /// It was removed from the registry; requests that chose it earlier may still hold it.
     bool isDropped_ = false;
     /// Set if its registration was removed, which may be only an expiry.
-    std::optional<Policy::RemovedRegistration> removed_;
+    std::optional<Policy::RemovedRegistration> removedRegistration_;
     /// Requests whose connections broke before it was known whether the target ended, and when the
     /// last one broke.
-    std::vector<Policy::RequestPrint> lost_;
-    Model::SteadyTime lostAt_ = Model::longAgo;
+    std::vector<Policy::RequestPrint> lostRequests_;
+    Model::SteadyTime lastLossAt_ = Model::longAgo;
     /// A probe of whether it still listens is in progress.
-    bool isKnockedAt_ = false;
+    bool isListenProbePending_ = false;
     /// No process listens at its address any more.
     bool hasEnded_ = false;
     /// When each object was last sent here.
@@ -98,8 +98,8 @@
     /// Returns whether registrations and its own answers permit sending it new requests.
     bool takesWork() const
     {
-        return hasPlace_ && isNamed_ && !record_.isLeaving_ && !isReplaced_ && !isDropped_
-               && !isSucceeded();
+        return hasKnownDomain_ && isRegistrationReadable_ && !record_.isLeaving_ && !isReplaced_
+               && !isDropped_ && !isSucceeded();
     }
 };
 
@@ -151,7 +151,7 @@
     const std::vector<std::uint64_t> &domainSeeds() const { return domainSeeds_; }
 
 private:
-    void take(const Platform::StoredRow &row, Model::SteadyTime now);
+    void applyRow(const Platform::StoredRow &row, Model::SteadyTime now);
     void noteUnreadable(const Platform::StoredRow &row);
     void logLeave(const TargetState &target, const char *how, Platform::Revision revision,
                   Model::SteadyTime now);
@@ -160,8 +160,8 @@
     void noteMissing(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
     /// Forgets the removal times of registrations that have returned, and old ones.
     void forgetRemovals(Model::SteadyTime now);
-    void findPlace(TargetState &target) const;
-    void arrange();
+    void resolveDomain(TargetState &target) const;
+    void rebuildServices();
     Policy::HomeShares homesOf(const ServiceTargets &targets) const;
 
     const PlatformPort &port_;
@@ -174,7 +174,7 @@
     /// When registrations were first found to be removed, locally or at a peer.
     std::map<Model::TargetId, Model::SteadyTime> removals_;
     /// Number of replaced targets when services_ was last rebuilt.
-    std::size_t replaced_ = 0;
+    std::size_t replacedCount_ = 0;
     std::unordered_map<Model::ServiceId, ServiceTargets> services_;
     /// The targets that take work, by their short name in TargetLoad.
     std::unordered_map<std::uint32_t, std::shared_ptr<TargetState>> byShortName_;
--- a/Libraries/LibSteering/TargetRemovals.cpp
+++ b/Libraries/LibSteering/TargetRemovals.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// How long the time of a removal is kept; updates spread between instances in less time.
-constexpr Model::Milliseconds removalMemory{10000};
+constexpr Model::Milliseconds removalRetention{10000};
 
 const char *nameOf(Policy::StoreContact contact)
 {
@@ -49,9 +49,9 @@
         .add("in_progress", target.ownInFlight_)
         .add("last_request", last.request_)
         .add("sent_ms_ago", msSince(last.at_, now))
-        .add("sent_knowing", static_cast<std::int64_t>(last.known_.value()))
-        .add("store_said_ms_before", msSince(last.news_.fromStore_, last.at_))
-        .add("peers_said_ms_before", msSince(last.news_.fromPeers_, last.at_));
+        .add("sent_knowing", static_cast<std::int64_t>(last.knownRevision_.value()))
+        .add("store_said_ms_before", msSince(last.freshness_.storeConfirmedAt_, last.at_))
+        .add("peers_said_ms_before", msSince(last.freshness_.peersConfirmedAt_, last.at_));
 }
 
 void TargetBook::noteMissing(SteadyTime now, const Policy::StoreEvidence &evidence)
@@ -61,11 +61,11 @@
         = std::count_if(targets_.begin(), targets_.end(), [&](const auto &entry) {
               const auto &[id, target] = entry;
               const bool isMissing = !mirror.rows().contains(id.value());
-              return isMissing && !target->record_.isLeaving_ && !target->removed_;
+              return isMissing && !target->record_.isLeaving_ && !target->removedRegistration_;
           });
     std::erase_if(targets_, [&](const auto &entry) {
         const auto &[id, target] = entry;
-        if (mirror.rows().contains(id.value()) || target->removed_)
+        if (mirror.rows().contains(id.value()) || target->removedRegistration_)
             return false;
         Policy::RemovedRegistration removed;
         removed.revision_ = mirror.removedAt(id.value()).value_or(mirror.position()).value();
@@ -73,7 +73,7 @@
         removed.isOneOfMany_ = static_cast<std::size_t>(unannounced) >= Policy::manyAtOnce;
         const auto until = Policy::usableUntil(removed, evidence);
         if (until > now && !target->record_.isLeaving_) {
-            target->removed_ = removed;
+            target->removedRegistration_ = removed;
             log_.line(Event::TargetMissing)
                 .add("target", id.value())
                 .add("revision", static_cast<std::int64_t>(removed.revision_))
@@ -97,14 +97,16 @@
 {
     const auto dropped = std::erase_if(targets_, [&](const auto &entry) {
         const auto &[id, target] = entry;
-        if (!target->removed_ || now < Policy::usableUntil(*target->removed_, evidence))
+        if (!target->removedRegistration_
+            || now < Policy::usableUntil(*target->removedRegistration_, evidence))
             return false;
-        const auto missingFor = now - target->removed_->noticedAt_;
+        const auto missingFor = now - target->removedRegistration_->noticedAt_;
         log_.line(Event::TargetGone)
             .add("target", id.value())
             .add("after", "lapse")
             .add("missing_ms", std::chrono::duration_cast<Model::Microseconds>(missingFor));
-        logLeave(*target, "lapsed", Platform::Revision(target->removed_->revision_), now);
+        logLeave(*target, "lapsed", Platform::Revision(target->removedRegistration_->revision_),
+                 now);
         target->isDropped_ = true;
         return true;
     });
@@ -113,8 +115,8 @@
     const auto replaced = std::count_if(targets_.begin(), targets_.end(), [](const auto &entry) {
         return entry.second->isReplaced_;
     });
-    if (dropped > 0 || static_cast<std::size_t>(replaced) != replaced_)
-        arrange();
+    if (dropped > 0 || static_cast<std::size_t>(replaced) != replacedCount_)
+        rebuildServices();
     return dropped > 0;
 }
 
@@ -122,7 +124,7 @@
 {
     RemovalAges ages;
     for (const auto &[id, noticedAt] : removals_) {
-        if (now - noticedAt <= removalMemory)
+        if (now - noticedAt <= removalRetention)
             ages[id.value()] = std::chrono::duration_cast<Model::Milliseconds>(now - noticedAt);
     }
     return ages;
@@ -131,7 +133,7 @@
 void TargetBook::hearRemovals(const RemovalAges &ages, SteadyTime now)
 {
     for (const auto &[id, age] : ages) {
-        if (age > removalMemory)
+        if (age > removalRetention)
             continue;
         const auto [known, isNew] = removals_.try_emplace(Model::TargetId(id), now - age);
         known->second = std::min(known->second, now - age);
@@ -143,7 +145,7 @@
     std::erase_if(removals_, [&](const auto &entry) {
         const auto &[id, noticedAt] = entry;
         const bool isBack = knowledge_.mirror(StoreTable::Targets).rows().contains(id.value());
-        return isBack || now - noticedAt > removalMemory;
+        return isBack || now - noticedAt > removalRetention;
     });
 }
 
--- a/Tests/LibSteering/FakePlatform.cpp
+++ b/Tests/LibSteering/FakePlatform.cpp
@@ -171,17 +171,18 @@
     book_.update(now_, evidence_);
 }
 
-Steering::Job job(const Brain &brain, const std::string &route, std::uint64_t object)
+Steering::RequestContext requestContext(const Brain &brain, const std::string &route,
+                                        std::uint64_t object)
 {
-    Steering::Job job;
-    job.table_ = brain.knowledge_.table();
-    job.route_ = job.table_->routes().find("h", "/" + route + "/x");
-    job.service_ = job.route_->parts_.front().service_;
-    job.object_ = object;
-    job.hasObject_ = true;
-    job.arrivedAt_ = brain.now_;
-    job.deadline_ = brain.now_ + job.route_->timeout_;
-    return job;
+    Steering::RequestContext requestContext;
+    requestContext.table_ = brain.knowledge_.table();
+    requestContext.route_ = requestContext.table_->routes().find("h", "/" + route + "/x");
+    requestContext.service_ = requestContext.route_->parts_.front().service_;
+    requestContext.object_ = object;
+    requestContext.hasObject_ = true;
+    requestContext.arrivedAt_ = brain.now_;
+    requestContext.deadline_ = brain.now_ + requestContext.route_->timeout_;
+    return requestContext;
 }
 
 } // namespace Fakes
--- a/Tests/LibSteering/FakePlatform.h
+++ b/Tests/LibSteering/FakePlatform.h
@@ -11,8 +11,8 @@
 /// A platform without a network: rows are plain text, supplied by the test.
 ///
 /// An operators' row holds the table's text form, with "version NUMBER" on its first line; a row
-/// whose key begins with "drain " drains a failure domain. A target's row holds "service domain
-/// address slots state cold_ms" and, optionally, " incarnation reports".
+/// whose key begins with "drain " drains a failure domain. A target's row holds
+/// "service domain address slots state cold_ms" and, optionally, " incarnation reports".
 Steering::PlatformPort port();
 
 /// Settings of an instance in \a domain of a site of three regions r, s, t with two domains each.
@@ -60,6 +60,7 @@
 };
 
 /// Returns a request for \a object on a route ("read" or "order") that has just arrived.
-Steering::Job job(const Brain &brain, const std::string &route, std::uint64_t object);
+Steering::RequestContext requestContext(const Brain &brain, const std::string &route,
+                                        std::uint64_t object);
 
 } // namespace Fakes
--- a/Tests/LibSteering/LoadedTargets.cpp
+++ b/Tests/LibSteering/LoadedTargets.cpp
@@ -17,7 +17,7 @@
     std::size_t request_ = 0;
     std::size_t entry_ = 0;
     Placement placement_;
-    Steering::Job job_;
+    Steering::RequestContext requestContext_;
     SteadyTime sentAt_;
     std::list<Steering::SentRequest>::iterator sent_;
 };
@@ -32,21 +32,21 @@
     std::string region_;
 
     /// Loads an object, and returns whether it was already loaded.
-    bool use(std::uint64_t object, std::size_t keeps)
+    bool use(std::uint64_t object, std::size_t capacity)
     {
         const bool wasThere = std::erase(objects_, object) > 0;
         objects_.push_front(object);
-        if (objects_.size() > keeps)
+        if (objects_.size() > capacity)
             objects_.pop_back();
         return wasThere;
     }
 };
 
-class Player
+class Simulation
 {
 public:
-    Player(std::vector<Brain *> entries, const std::vector<PlayedRequest> &requests,
-           const WorkModel &model)
+    Simulation(std::vector<Brain *> entries, const std::vector<SimulatedRequest> &requests,
+               const WorkModel &model)
         : entries_(std::move(entries))
         , requests_(requests)
         , model_(model)
@@ -60,18 +60,18 @@
         }
     }
 
-    std::vector<PlayedResult> run()
+    std::vector<SimulatedResult> run()
     {
         for (std::size_t i = 0; i < requests_.size(); ++i) {
             at(start_ + requests_[i].at_, [this, i] {
                 arrive(i);
             });
         }
-        if (model_.newsPause_.count() > 0 && !requests_.empty()) {
-            for (auto time = model_.newsPause_; time < requests_.back().at_;
-                 time += model_.newsPause_) {
+        if (model_.loadExchangeInterval_.count() > 0 && !requests_.empty()) {
+            for (auto time = model_.loadExchangeInterval_; time < requests_.back().at_;
+                 time += model_.loadExchangeInterval_) {
                 at(start_ + time, [this] {
-                    exchangeNews();
+                    exchangeLoads();
                 });
             }
         }
@@ -93,19 +93,19 @@
     Milliseconds delayTo(std::size_t entry, const FakeTarget &target) const
     {
         const bool isNear = entries_[entry]->settings_.region_.value() == target.region_;
-        return isNear ? Milliseconds(1) : model_.farDelay_;
+        return isNear ? Milliseconds(1) : model_.interRegionDelay_;
     }
 
     void arrive(std::size_t number)
     {
-        const PlayedRequest &request = requests_[number];
+        const SimulatedRequest &request = requests_[number];
         Brain &brain = *entries_[request.entry_];
         brain.now_ = now_;
         Work work;
         work.request_ = number;
         work.entry_ = request.entry_;
-        work.job_ = job(brain, request.route_, request.object_);
-        const auto placed = brain.placer_.place(work.job_, now_);
+        work.requestContext_ = requestContext(brain, request.route_, request.object_);
+        const auto placed = brain.placer_.place(work.requestContext_, now_);
         const auto *placement = std::get_if<Placement>(&placed);
         if (!placement) {
             results_[number].isRefused_ = true;
@@ -115,29 +115,30 @@
         work.sentAt_ = now_;
         TargetState &state = *placement->target_;
         ++state.ownInFlight_;
-        work.sent_ = state.sent_.insert(state.sent_.end(), {now_, placement->latestUsual_});
+        work.sent_ = state.sentRequests_.insert(state.sentRequests_.end(),
+                                                {now_, placement->maxUsualLatency_});
         const std::string id = state.record_.id_.value();
         results_[number].target_ = id;
-        if (model_.dark_.contains(id)) {
-            at(work.job_.deadline_, [this, work] {
+        if (model_.unresponsive_.contains(id)) {
+            at(work.requestContext_.deadline_, [this, work] {
                 loseAnswer(work);
             });
             return;
         }
         at(now_ + delayTo(work.entry_, targets_[id]), [this, work, id] {
             targets_[id].waiting_.push_back(work);
-            begin(id);
+            startWaiting(id);
         });
     }
 
-    void begin(const std::string &id)
+    void startWaiting(const std::string &id)
     {
         FakeTarget &target = targets_[id];
         while (target.running_ < target.slots_ && !target.waiting_.empty()) {
             const Work work = target.waiting_.front();
             target.waiting_.pop_front();
             ++target.running_;
-            const bool isWarm = target.use(work.job_.object_, model_.keeps_);
+            const bool isWarm = target.use(work.requestContext_.object_, model_.objectCapacity_);
             const auto slowness = model_.slowness_.find(id);
             const double factor = slowness == model_.slowness_.end() ? 1 : slowness->second;
             const auto whole = isWarm ? model_.warm_ : model_.cold_;
@@ -147,7 +148,7 @@
                 --done.running_;
                 const auto inFlight
                     = done.running_ + static_cast<std::int64_t>(done.waiting_.size());
-                begin(id);
+                startWaiting(id);
                 at(now_ + delayTo(work.entry_, done), [this, work, inFlight] {
                     answer(work, inFlight);
                 });
@@ -159,7 +160,7 @@
     {
         TargetState &state = *work.placement_.target_;
         --state.ownInFlight_;
-        state.sent_.erase(work.sent_);
+        state.sentRequests_.erase(work.sent_);
     }
 
     void answer(const Work &work, std::int64_t inFlight)
@@ -172,11 +173,11 @@
         const auto took = now_ - work.sentAt_;
         results_[work.request_].took_ = std::chrono::duration_cast<Milliseconds>(took);
         entries_[work.entry_]->placer_.noteAnswer(
-            work.job_, work.placement_, std::chrono::duration_cast<Model::Microseconds>(took),
-            now_);
+            work.requestContext_, work.placement_,
+            std::chrono::duration_cast<Model::Microseconds>(took), now_);
     }
 
-    void exchangeNews()
+    void exchangeLoads()
     {
         for (Brain *brain : entries_) {
             Brain &other = *entries_[random_() % entries_.size()];
@@ -189,13 +190,13 @@
     {
         release(work);
         results_[work.request_].isLost_ = true;
-        entries_[work.entry_]->placer_.noteSilence(work.placement_, work.sentAt_, true, now_);
+        entries_[work.entry_]->placer_.noteNoAnswer(work.placement_, work.sentAt_, true, now_);
     }
 
     std::vector<Brain *> entries_;
-    const std::vector<PlayedRequest> &requests_;
+    const std::vector<SimulatedRequest> &requests_;
     const WorkModel &model_;
-    std::vector<PlayedResult> results_;
+    std::vector<SimulatedResult> results_;
     std::map<std::string, FakeTarget> targets_;
     std::multimap<SteadyTime, std::function<void()>> events_;
     std::mt19937_64 random_{11};
@@ -205,14 +206,15 @@
 
 } // namespace
 
-std::vector<PlayedResult> play(std::vector<Brain *> entries,
-                               const std::vector<PlayedRequest> &requests, const WorkModel &model)
+std::vector<SimulatedResult> simulate(std::vector<Brain *> entries,
+                                      const std::vector<SimulatedRequest> &requests,
+                                      const WorkModel &model)
 {
-    return Player(std::move(entries), requests, model).run();
+    return Simulation(std::move(entries), requests, model).run();
 }
 
-double servedWithin(const std::vector<PlayedResult> &results, std::size_t first, std::size_t last,
-                    Milliseconds goal)
+double servedWithin(const std::vector<SimulatedResult> &results, std::size_t first,
+                    std::size_t last, Milliseconds goal)
 {
     double served = 0;
     for (std::size_t i = first; i < last; ++i) {
--- a/Tests/LibSteering/LoadedTargets.h
+++ b/Tests/LibSteering/LoadedTargets.h
@@ -17,19 +17,19 @@
     Model::Milliseconds warm_{144};
     Model::Milliseconds cold_{480};
     /// Objects that a target keeps loaded; the least recently used one is evicted first.
-    std::size_t keeps_ = 1000000;
+    std::size_t objectCapacity_ = 1000000;
     /// One-way delay between regions.
-    Model::Milliseconds farDelay_{55};
+    Model::Milliseconds interRegionDelay_{55};
     /// Targets that answer no request, and factors by which targets are slower than usual.
-    std::set<std::string> dark_;
+    std::set<std::string> unresponsive_;
     std::map<std::string, double> slowness_;
     /// Interval at which each entry and a random other one exchange target loads; zero disables the
     /// exchange.
-    Model::Milliseconds newsPause_{0};
+    Model::Milliseconds loadExchangeInterval_{0};
 };
 
 /// One caller's request in a simulated load.
-struct PlayedRequest
+struct SimulatedRequest
 {
     Model::Milliseconds at_{0};
     /// Index of the entry that receives it.
@@ -39,7 +39,7 @@
 };
 
 /// Its outcome.
-struct PlayedResult
+struct SimulatedResult
 {
     std::string target_;
     bool isRefused_ = false;
@@ -50,11 +50,12 @@
 
 /// Simulates requests to targets with slots and queues, placed by one real Placer for each entry,
 /// without a network. Events run in the order of their times.
-std::vector<PlayedResult> play(std::vector<Brain *> entries,
-                               const std::vector<PlayedRequest> &requests, const WorkModel &model);
+std::vector<SimulatedResult> simulate(std::vector<Brain *> entries,
+                                      const std::vector<SimulatedRequest> &requests,
+                                      const WorkModel &model);
 
 /// Returns the fraction of the results in [\a first, \a last) that were answered within \a goal.
-double servedWithin(const std::vector<PlayedResult> &results, std::size_t first, std::size_t last,
-                    Model::Milliseconds goal);
+double servedWithin(const std::vector<SimulatedResult> &results, std::size_t first,
+                    std::size_t last, Model::Milliseconds goal);
 
 } // namespace Fakes
--- a/Tests/LibSteering/TestDispatcher.cpp
+++ b/Tests/LibSteering/TestDispatcher.cpp
@@ -10,16 +10,16 @@
 
 /// Two targets in r-a that answer every request, and a dispatcher that sends to them, all on one
 /// thread, so that the test controls what happens between two steps of the dispatcher.
-struct Bench
+struct DispatcherFixture
 {
-    Bench()
+    DispatcherFixture()
     {
         for (const char *id : {"a", "b"}) {
             servers_.push_back(std::make_unique<Http::Server>(
                 context_, Http::ServerLimits(),
                 [this](Http::IncomingRequest request) -> Http::Task<Http::Response> {
                     const std::string target(request.message_["Expected"]);
-                    reached_.push_back(target);
+                    receivingTargets_.push_back(target);
                     auto answer = Http::textAnswer(http::status::ok, "text/plain", target, 11);
                     answer.set("Id", std::string(request.message_["Id"]));
                     co_return answer;
@@ -49,7 +49,7 @@
 
     /// Starts a request, and returns once its target is chosen and a connection to it is being
     /// opened.
-    void begin()
+    void startRequest()
     {
         Http::IncomingRequest incoming;
         incoming.message_ = Http::Request(http::verb::get, "/read/x", 11);
@@ -60,18 +60,18 @@
         incoming.isGone_ = [] {
             return false;
         };
-        Http::asio::co_spawn(context_, carry(std::move(incoming)), Http::asio::detached);
-        while (chosen().empty())
+        Http::asio::co_spawn(context_, answerRequest(std::move(incoming)), Http::asio::detached);
+        while (chosenTarget().empty())
             CPPUNIT_ASSERT(context_.poll_one() > 0);
     }
 
-    Http::Task<void> carry(Http::IncomingRequest incoming)
+    Http::Task<void> answerRequest(Http::IncomingRequest incoming)
     {
         answer_ = co_await dispatcher_.answer(std::move(incoming));
     }
 
     /// Returns the target that was chosen for the request, or an empty string.
-    std::string chosen() const
+    std::string chosenTarget() const
     {
         for (const auto &[id, target] : brain_.book_.all()) {
             if (target->ownInFlight_ > 0)
@@ -80,7 +80,7 @@
         return "";
     }
 
-    void finish()
+    void waitForAnswer()
     {
         const auto end = std::chrono::steady_clock::now() + Milliseconds(5000);
         while (!answer_ && std::chrono::steady_clock::now() < end)
@@ -95,7 +95,7 @@
                                      brain_.placer_, guard_,       brain_.log_};
     std::vector<std::unique_ptr<Http::Server>> servers_;
     std::map<std::string, Model::Address> addresses_;
-    std::vector<std::string> reached_;
+    std::vector<std::string> receivingTargets_;
     std::optional<Http::Response> answer_;
 };
 
@@ -108,49 +108,49 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static void assertSentElsewhere(Bench &bench, const std::string &left)
+    static void assertSentElsewhere(DispatcherFixture &fixture, const std::string &left)
     {
-        bench.finish();
+        fixture.waitForAnswer();
         const std::string other = left == "a" ? "b" : "a";
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.reached_.size());
-        CPPUNIT_ASSERT_EQUAL(other, bench.reached_.front());
-        CPPUNIT_ASSERT(bench.answer_->result() == http::status::ok);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.receivingTargets_.size());
+        CPPUNIT_ASSERT_EQUAL(other, fixture.receivingTargets_.front());
+        CPPUNIT_ASSERT(fixture.answer_->result() == http::status::ok);
     }
 
     // Guards against sending a request to a target that is known to be leaving, because the target
     // was chosen earlier and the request was waiting for a connection.
     void requestThatWaitsForAConnectionIsNotSentToATargetThatLeaves()
     {
-        Bench bench;
-        bench.begin();
-        const std::string left = bench.chosen();
+        DispatcherFixture fixture;
+        fixture.startRequest();
+        const std::string left = fixture.chosenTarget();
         const std::string other = left == "a" ? "b" : "a";
-        bench.brain_.tellTargets(3, {bench.row(left, 3, "draining"), bench.row(other, 2)});
-        assertSentElsewhere(bench, left);
+        fixture.brain_.tellTargets(3, {fixture.row(left, 3, "draining"), fixture.row(other, 2)});
+        assertSentElsewhere(fixture, left);
     }
 
     // The same for a target whose registration was removed.
     void requestThatWaitsForAConnectionIsNotSentToATargetThatIsGone()
     {
-        Bench bench;
-        bench.begin();
-        const std::string left = bench.chosen();
+        DispatcherFixture fixture;
+        fixture.startRequest();
+        const std::string left = fixture.chosenTarget();
         const std::string other = left == "a" ? "b" : "a";
-        bench.brain_.tellTargets(3, {bench.row(other, 2)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), bench.brain_.book_.all().size());
-        assertSentElsewhere(bench, left);
+        fixture.brain_.tellTargets(3, {fixture.row(other, 2)});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.brain_.book_.all().size());
+        assertSentElsewhere(fixture, left);
     }
 
     // The same for a failure domain that an operator drains; no target is left to serve the
     // request.
     void requestThatWaitsForAConnectionIsNotSentToADrainedDomain()
     {
-        Bench bench;
-        bench.begin();
-        bench.brain_.tellOperators(4, 4, {"r-a"});
-        bench.finish();
-        CPPUNIT_ASSERT(bench.reached_.empty());
-        CPPUNIT_ASSERT(bench.answer_->result() == http::status::service_unavailable);
+        DispatcherFixture fixture;
+        fixture.startRequest();
+        fixture.brain_.tellOperators(4, 4, {"r-a"});
+        fixture.waitForAnswer();
+        CPPUNIT_ASSERT(fixture.receivingTargets_.empty());
+        CPPUNIT_ASSERT(fixture.answer_->result() == http::status::service_unavailable);
     }
 };
 
--- a/Tests/LibSteering/TestLoads.cpp
+++ b/Tests/LibSteering/TestLoads.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 using Fakes::Brain;
-using Fakes::PlayedRequest;
+using Fakes::SimulatedRequest;
 using Model::Milliseconds;
 
 constexpr Milliseconds goal{400};
@@ -17,10 +17,10 @@
 constexpr std::uint64_t objects = 76;
 
 /// Three regions with 2, 12 and 14 targets of six slots, and one entry in each region.
-class LopsidedSite
+class UnevenSite
 {
 public:
-    LopsidedSite()
+    UnevenSite()
     {
         std::vector<Platform::StoredRow> list;
         int number = 0;
@@ -54,14 +54,14 @@
 
 /// Returns requests at random times for random objects, evenly spread over the regions, at \a
 /// perSecond for all regions together. The result is the same in every run.
-std::vector<PlayedRequest> evenLoad(double perSecond)
+std::vector<SimulatedRequest> evenLoad(double perSecond)
 {
     std::mt19937_64 random(17);
-    std::vector<PlayedRequest> requests;
+    std::vector<SimulatedRequest> requests;
     double at = 0;
     while (at < static_cast<double>(length.count())) {
         at += std::exponential_distribution<double>(perSecond / 1000)(random);
-        PlayedRequest request;
+        SimulatedRequest request;
         request.at_ = Milliseconds(static_cast<long long>(at));
         request.entry_ = random() % 3;
         request.object_ = random() % objects;
@@ -73,23 +73,23 @@
 class TestLoads : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLoads);
-    CPPUNIT_TEST(callersOfThePoorRegionFareLikeTheOthers);
-    CPPUNIT_TEST(darkTargetCostsFewRequests);
+    CPPUNIT_TEST(callersOfASmallRegionAreServedLikeTheOthers);
+    CPPUNIT_TEST(unresponsiveTargetCostsFewRequests);
     CPPUNIT_TEST(slowTargetLosesMostOfItsRequests);
     CPPUNIT_TEST(overloadIsRefusedAtOnceAndTheRestIsInTime);
     CPPUNIT_TEST(serviceThatLostTargetsRecoversFromABurst);
-    CPPUNIT_TEST(ownerOfWhatAllAskForIsRelievedInALargeFleet);
+    CPPUNIT_TEST(secondaryOwnerTakesLoadOfAHotObjectInALargeFleet);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // A third of the callers is in a region with a fourteenth of the slots. 500 requests per second
     // of 144 ms fill 72 of 168 slots; served locally, the poor region's 12 slots would get 24 of
     // these. A remote target answers after 254 ms, within the goal of 400 ms.
-    void callersOfThePoorRegionFareLikeTheOthers()
+    void callersOfASmallRegionAreServedLikeTheOthers()
     {
-        const LopsidedSite site;
+        const UnevenSite site;
         const auto requests = evenLoad(500);
-        const auto results = Fakes::play(site.entries(), requests, {});
+        const auto results = Fakes::simulate(site.entries(), requests, {});
         std::vector<int> sent(3, 0);
         std::vector<int> served(3, 0);
         for (std::size_t i = requests.size() / 4; i < requests.size(); ++i) {
@@ -110,13 +110,13 @@
     // but its registration stays for a few seconds. This happens if a target is judged only by its
     // answers. The target owns about 6 of 76 objects, which is 13 of each region's 167 requests per
     // second; without detection by missing answers, all of them are lost for 20 s.
-    void darkTargetCostsFewRequests()
+    void unresponsiveTargetCostsFewRequests()
     {
-        const LopsidedSite site;
+        const UnevenSite site;
         const auto requests = evenLoad(400);
         Fakes::WorkModel model;
-        model.dark_ = {"t5"};
-        const auto results = Fakes::play(site.entries(), requests, model);
+        model.unresponsive_ = {"t5"};
+        const auto results = Fakes::simulate(site.entries(), requests, model);
         const auto lost = std::count_if(results.begin(), results.end(), [](const auto &result) {
             return result.isLost_;
         });
@@ -129,8 +129,8 @@
     {
         const auto requests = evenLoad(400);
         const auto countOf = [&](const Fakes::WorkModel &model) {
-            const LopsidedSite site;
-            const auto results = Fakes::play(site.entries(), requests, model);
+            const UnevenSite site;
+            const auto results = Fakes::simulate(site.entries(), requests, model);
             return std::count_if(results.begin(), results.end(), [](const auto &result) {
                 return result.target_ == "t5";
             });
@@ -148,9 +148,9 @@
     // answer takes longer than the caller waits.
     void overloadIsRefusedAtOnceAndTheRestIsInTime()
     {
-        const LopsidedSite site;
+        const UnevenSite site;
         const auto requests = evenLoad(2300);
-        const auto results = Fakes::play(site.entries(), requests, {});
+        const auto results = Fakes::simulate(site.entries(), requests, {});
         const std::size_t from = requests.size() / 3;
         int refused = 0;
         int late = 0;
@@ -184,19 +184,19 @@
                 Fakes::target("t" + std::to_string(number++), "gauging", domain, 1, "ready", 0, 3));
         }
         std::vector<std::unique_ptr<Brain>> entries;
-        std::vector<Brain *> brains;
+        std::vector<Brain *> instances;
         for (const char *domain : {"r-a", "r-b", "s-a", "s-b", "t-a", "t-b"}) {
             entries.push_back(std::make_unique<Brain>(domain));
             entries.back()->tellOperators(3, 1);
             entries.back()->tellTargets(2, list);
-            brains.push_back(entries.back().get());
+            instances.push_back(entries.back().get());
         }
         const auto requests = burst();
         Fakes::WorkModel model;
         model.warm_ = Milliseconds(192);
         model.cold_ = Milliseconds(640);
-        model.keeps_ = 12;
-        const auto results = Fakes::play(brains, requests, model);
+        model.objectCapacity_ = 12;
+        const auto results = Fakes::simulate(instances, requests, model);
         const auto late = std::find_if(requests.begin(), requests.end(), [](const auto &request) {
             return request.at_ >= Milliseconds(12000);
         });
@@ -213,15 +213,16 @@
     // directly and recently considers all targets idle.
     // The load is 50 requests per second for one object and 80 for forty others, at 8 targets of
     // six slots with a processing time of 144 ms. An owner serves 41 per second.
-    void ownerOfWhatAllAskForIsRelievedInALargeFleet()
+    void secondaryOwnerTakesLoadOfAHotObjectInALargeFleet()
     {
-        const double told = inTimeWithAHotObject(Milliseconds(200));
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(told), told > 0.9);
-        const double untold = inTimeWithAHotObject(Milliseconds(0));
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(untold), untold < told - 0.1);
+        const double withExchange = inTimeWithAHotObject(Milliseconds(200));
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(withExchange), withExchange > 0.9);
+        const double withoutExchange = inTimeWithAHotObject(Milliseconds(0));
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(withoutExchange),
+                               withoutExchange < withExchange - 0.1);
     }
 
-    static double inTimeWithAHotObject(Milliseconds newsPause)
+    static double inTimeWithAHotObject(Milliseconds exchangeInterval)
     {
         constexpr std::size_t fleet = 600;
         std::vector<Platform::StoredRow> list;
@@ -230,42 +231,42 @@
                 Fakes::target("t" + std::to_string(i), "gauging", "r-a", 1, "ready", 0, 6));
         }
         std::vector<std::unique_ptr<Brain>> entries;
-        std::vector<Brain *> brains;
+        std::vector<Brain *> instances;
         for (std::size_t i = 0; i < fleet; ++i) {
             entries.push_back(std::make_unique<Brain>(i % 2 == 0 ? "r-a" : "r-b"));
             entries.back()->tellOperators(3, 1);
             entries.back()->tellTargets(2, list);
-            brains.push_back(entries.back().get());
+            instances.push_back(entries.back().get());
         }
         std::mt19937_64 random(29);
-        std::vector<PlayedRequest> requests;
+        std::vector<SimulatedRequest> requests;
         double at = 0;
         while (at < static_cast<double>(length.count())) {
             at += std::exponential_distribution<double>(0.13)(random);
-            PlayedRequest request;
+            SimulatedRequest request;
             request.at_ = Milliseconds(static_cast<long long>(at));
             request.entry_ = random() % fleet;
             request.object_ = random() % 13 < 5 ? 0 : 1 + random() % 40;
             requests.push_back(request);
         }
         Fakes::WorkModel model;
-        model.keeps_ = 12;
-        model.newsPause_ = newsPause;
-        const auto results = Fakes::play(brains, requests, model);
+        model.objectCapacity_ = 12;
+        model.loadExchangeInterval_ = exchangeInterval;
+        const auto results = Fakes::simulate(instances, requests, model);
         return Fakes::servedWithin(results, results.size() / 3, results.size(), goal);
     }
 
     /// Returns 90 requests per second from the callers of six entries, and 300 from 4 s to 7 s.
     /// Each region's callers request 24 objects of their own.
-    static std::vector<PlayedRequest> burst()
+    static std::vector<SimulatedRequest> burst()
     {
         std::mt19937_64 random(23);
-        std::vector<PlayedRequest> requests;
+        std::vector<SimulatedRequest> requests;
         double at = 0;
         while (at < static_cast<double>(length.count())) {
             const bool isBurst = at >= 4000 && at < 7000;
             at += std::exponential_distribution<double>(isBurst ? 0.3 : 0.09)(random);
-            PlayedRequest request;
+            SimulatedRequest request;
             request.at_ = Milliseconds(static_cast<long long>(at));
             request.entry_ = random() % 6;
             request.object_ = request.entry_ / 2 * 24 + random() % 24;
--- a/Tests/LibSteering/TestPlacer.cpp
+++ b/Tests/LibSteering/TestPlacer.cpp
@@ -12,7 +12,7 @@
 
 /// Returns 1, 6 and 7 targets in each domain of regions r, s, t: one region has few targets, as in
 /// real deployments.
-std::vector<Platform::StoredRow> lopsided()
+std::vector<Platform::StoredRow> unevenTargets()
 {
     std::vector<Platform::StoredRow> list;
     int number = 0;
@@ -29,7 +29,8 @@
 
 std::string placedAt(Brain &brain, std::uint64_t object)
 {
-    const auto placed = brain.placer_.place(Fakes::job(brain, "read", object), brain.now_);
+    const auto placed
+        = brain.placer_.place(Fakes::requestContext(brain, "read", object), brain.now_);
     const auto *placement = std::get_if<Placement>(&placed);
     return placement ? placement->target_->record_.id_.value() : "refused";
 }
@@ -41,7 +42,7 @@
     CPPUNIT_TEST(objectsOfTheRichRegionsStay);
     CPPUNIT_TEST(aReplacedTargetMovesFewObjects);
     CPPUNIT_TEST(triedTargetsAreNotChosenAgain);
-    CPPUNIT_TEST(coldTargetsOfOtherRegionsAreLeftToTheirEntries);
+    CPPUNIT_TEST(coldTargetsOfOtherRegionsAreNotUsed);
     CPPUNIT_TEST(withoutTargetsARequestIsRefusedAtOnce);
     CPPUNIT_TEST(instanceThatKnowsNoTargetsYetIsNotReady);
     CPPUNIT_TEST(homeRegionsBind);
@@ -54,7 +55,7 @@
         Brain two("s-a");
         for (Brain *brain : {&one, &two}) {
             brain->tellOperators(3, 1);
-            brain->tellTargets(2, lopsided());
+            brain->tellTargets(2, unevenTargets());
         }
         for (std::uint64_t object = 0; object < 200; ++object)
             CPPUNIT_ASSERT_EQUAL(placedAt(one, object), placedAt(two, object));
@@ -64,9 +65,10 @@
     {
         Brain brain("t-b");
         brain.tellOperators(3, 1);
-        brain.tellTargets(2, lopsided());
+        brain.tellTargets(2, unevenTargets());
         for (std::uint64_t object = 0; object < 200; ++object) {
-            const auto placed = brain.placer_.place(Fakes::job(brain, "read", object), brain.now_);
+            const auto placed
+                = brain.placer_.place(Fakes::requestContext(brain, "read", object), brain.now_);
             const auto &placement = std::get<Placement>(placed);
             CPPUNIT_ASSERT_EQUAL(std::string("t"),
                                  placement.target_->record_.domain_.value().substr(0, 1));
@@ -77,7 +79,7 @@
     {
         Brain brain("s-a");
         brain.tellOperators(3, 1);
-        auto list = lopsided();
+        auto list = unevenTargets();
         brain.tellTargets(2, list);
         std::vector<std::string> before;
         for (std::uint64_t object = 0; object < 600; ++object)
@@ -102,24 +104,25 @@
     {
         Brain brain("s-a");
         brain.tellOperators(3, 1);
-        brain.tellTargets(2, lopsided());
-        auto job = Fakes::job(brain, "read", 5);
-        const auto first = std::get<Placement>(brain.placer_.place(job, brain.now_));
-        job.tried_.push_back(first.target_->record_.id_);
-        const auto second = std::get<Placement>(brain.placer_.place(job, brain.now_));
+        brain.tellTargets(2, unevenTargets());
+        auto requestContext = Fakes::requestContext(brain, "read", 5);
+        const auto first = std::get<Placement>(brain.placer_.place(requestContext, brain.now_));
+        requestContext.tried_.push_back(first.target_->record_.id_);
+        const auto second = std::get<Placement>(brain.placer_.place(requestContext, brain.now_));
         CPPUNIT_ASSERT(first.target_ != second.target_);
     }
 
     // Guards against a cold target that gets several times its rate limit and crashes. After it
     // registers, the entries of three regions each send it their share of a limit that is divided
     // among the entries of one region only.
-    void coldTargetsOfOtherRegionsAreLeftToTheirEntries()
+    void coldTargetsOfOtherRegionsAreNotUsed()
     {
         Brain brain("r-a");
         brain.placer_.setEntries({4, 4, 4});
         brain.tellOperators(3, 1);
         brain.tellTargets(2, {Fakes::target("x", "gauging", "s-a", 2, "ready", 3000)});
-        const auto placed = brain.placer_.place(Fakes::job(brain, "read", 1), brain.now_);
+        const auto placed
+            = brain.placer_.place(Fakes::requestContext(brain, "read", 1), brain.now_);
         CPPUNIT_ASSERT(std::holds_alternative<Refusal>(placed));
         brain.now_ += Milliseconds(3001);
         CPPUNIT_ASSERT_EQUAL(std::string("x"), placedAt(brain, 1));
@@ -130,7 +133,8 @@
         Brain brain("r-a");
         brain.tellOperators(3, 1);
         brain.tellTargets(2, {});
-        const auto placed = brain.placer_.place(Fakes::job(brain, "read", 1), brain.now_);
+        const auto placed
+            = brain.placer_.place(Fakes::requestContext(brain, "read", 1), brain.now_);
         const auto &refusal = std::get<Refusal>(placed);
         CPPUNIT_ASSERT(refusal.code_ == Model::ResultCode::NoTarget);
         CPPUNIT_ASSERT(refusal.comeBack_ > Milliseconds(0));
@@ -141,7 +145,8 @@
     {
         Brain brain("r-a");
         brain.tellOperators(3, 1);
-        const auto placed = brain.placer_.place(Fakes::job(brain, "read", 1), brain.now_);
+        const auto placed
+            = brain.placer_.place(Fakes::requestContext(brain, "read", 1), brain.now_);
         const auto &refusal = std::get<Refusal>(placed);
         CPPUNIT_ASSERT(refusal.code_ == Model::ResultCode::NotReady);
         CPPUNIT_ASSERT(refusal.comeBack_ > Milliseconds(0));
@@ -158,7 +163,8 @@
             list.push_back(Fakes::target(domain, "transfers", domain, 2));
         brain.tellTargets(2, list);
         for (std::uint64_t object = 0; object < 50; ++object) {
-            const auto placed = brain.placer_.place(Fakes::job(brain, "order", object), brain.now_);
+            const auto placed
+                = brain.placer_.place(Fakes::requestContext(brain, "order", object), brain.now_);
             CPPUNIT_ASSERT_EQUAL(std::string("t-a"),
                                  std::get<Placement>(placed).target_->record_.id_.value());
         }
--- a/Tests/LibSteering/TestSpares.cpp
+++ b/Tests/LibSteering/TestSpares.cpp
@@ -9,14 +9,14 @@
 class TestSpares : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestSpares);
-    CPPUNIT_TEST(targetsKnownBeforeTheTableAreLeftAlone);
+    CPPUNIT_TEST(targetsKnownBeforeTheTableAreSkipped);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     // Guards against a memory fault right after the start of a process: if the targets are read
     // from the store before the operators' table, refreshing idle connections looks up the round
     // trip to a region before any region is known.
-    void targetsKnownBeforeTheTableAreLeftAlone()
+    void targetsKnownBeforeTheTableAreSkipped()
     {
         Brain brain("r-a");
         Http::asio::io_context context;
--- a/Tests/LibSteering/TestTargetBook.cpp
+++ b/Tests/LibSteering/TestTargetBook.cpp
@@ -25,21 +25,21 @@
 class TestTargetBook : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestTargetBook);
-    CPPUNIT_TEST(laterRunStartsWithNothingHeldForOrAgainstIt);
-    CPPUNIT_TEST(answersOfTheEarlierRunTeachNothingOfTheLater);
-    CPPUNIT_TEST(earlierRunNeverReplacesALaterOne);
-    CPPUNIT_TEST(reportsCountedAnewShowALaterRun);
-    CPPUNIT_TEST(laterReportsOfOneRunAreTakenIn);
+    CPPUNIT_TEST(laterIncarnationStartsWithFreshState);
+    CPPUNIT_TEST(answersOfAnEarlierIncarnationDoNotCountForALaterOne);
+    CPPUNIT_TEST(earlierIncarnationNeverReplacesALaterOne);
+    CPPUNIT_TEST(restartedReportCountShowsALaterIncarnation);
+    CPPUNIT_TEST(laterReportsOfOneIncarnationAreApplied);
     CPPUNIT_TEST(unreadableRegistrationNamesNoTarget);
     CPPUNIT_TEST(unreadableRegistrationIsLoggedOnce);
-    CPPUNIT_TEST(anyOrderOfRegistrationsEndsAtTheLatestRun);
-    CPPUNIT_TEST(laterRegistrationAtAnAddressEndsTheOneBefore);
-    CPPUNIT_TEST(registrationAtAForeignAddressHarmsNobodyForLong);
+    CPPUNIT_TEST(anyOrderOfRegistrationsEndsAtTheLatestIncarnation);
+    CPPUNIT_TEST(laterRegistrationAtAnAddressReplacesTheEarlierOne);
+    CPPUNIT_TEST(registrationAtAForeignAddressIsDisprovedByARejection);
     CPPUNIT_TEST(fullTargetIsKnownToOthersAndUnknownOnesAreIgnored);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static Brain informed(const Platform::StoredRow &row)
+    static Brain instanceWith(const Platform::StoredRow &row)
     {
         Brain brain("r-a");
         brain.tellOperators(3, 1);
@@ -56,9 +56,9 @@
     // it was leaving, and that registers again under the same id as a later incarnation, would
     // never get work. One that crashed otherwise would get requests as if its objects were still
     // loaded, and each takes three times as long as estimated.
-    void laterRunStartsWithNothingHeldForOrAgainstIt()
+    void laterIncarnationStartsWithFreshState()
     {
-        auto brain = informed(registration(5, 1000, 40, "draining"));
+        auto brain = instanceWith(registration(5, 1000, 40, "draining"));
         const auto before = stateIn(brain);
         before->objects_[7] = brain.now_;
         before->ownInFlight_ = 3;
@@ -77,14 +77,14 @@
     // Guards against counting answers by target id: a request is sent, the target crashes and
     // registers again, and the answer that was in transit arrives. The restarted target would be
     // considered warm, and busy with requests that it never received.
-    void answersOfTheEarlierRunTeachNothingOfTheLater()
+    void answersOfAnEarlierIncarnationDoNotCountForALaterOne()
     {
-        auto brain = informed(registration(5, 1000, 40));
-        const auto job = Fakes::job(brain, "read", 7);
-        const auto placed = std::get<Placement>(brain.placer_.place(job, brain.now_));
+        auto brain = instanceWith(registration(5, 1000, 40));
+        const auto requestContext = Fakes::requestContext(brain, "read", 7);
+        const auto placed = std::get<Placement>(brain.placer_.place(requestContext, brain.now_));
         brain.tellTargets(6, {registration(6, 2000, 1)});
-        brain.placer_.noteAnswer(job, placed, Microseconds(150000), brain.now_);
-        brain.placer_.noteSilence(placed, brain.now_, true, brain.now_);
+        brain.placer_.noteAnswer(requestContext, placed, Microseconds(150000), brain.now_);
+        brain.placer_.noteNoAnswer(placed, brain.now_, true, brain.now_);
         const auto after = stateIn(brain);
         CPPUNIT_ASSERT(after->objects_.empty());
         CPPUNIT_ASSERT(Policy::mayTry(after->reachability_, brain.now_));
@@ -94,9 +94,9 @@
     // Guards against considering the newest row the newest incarnation: a delayed write of the
     // earlier incarnation reaches the store after the later incarnation's registration. A live
     // target would be dropped, or get requests at an address that it left.
-    void earlierRunNeverReplacesALaterOne()
+    void earlierIncarnationNeverReplacesALaterOne()
     {
-        auto brain = informed(registration(5, 2000, 1));
+        auto brain = instanceWith(registration(5, 2000, 1));
         brain.tellTargets(6, {registration(6, 1000, 41, "draining")});
         CPPUNIT_ASSERT(stateIn(brain)->takesWork());
         brain.tellTargets(7, {registration(7, 2000, 2)});
@@ -105,9 +105,9 @@
     }
 
     // The same as the first test, with targets that do not report their start time.
-    void reportsCountedAnewShowALaterRun()
+    void restartedReportCountShowsALaterIncarnation()
     {
-        auto brain = informed(registration(5, 0, 40, "draining"));
+        auto brain = instanceWith(registration(5, 0, 40, "draining"));
         brain.tellTargets(6, {registration(6, 0, 41)});
         CPPUNIT_ASSERT(!stateIn(brain)->takesWork());
         brain.tellTargets(7, {registration(7, 0, 1)});
@@ -117,10 +117,10 @@
     // Guards against requests that reach a target 2.5 s after it reported that it is leaving. A
     // target that does not report its start time reports repeatedly, at last that it is leaving;
     // the lower count of the held report is mistaken for that of a later incarnation.
-    void laterReportsOfOneRunAreTakenIn()
+    void laterReportsOfOneIncarnationAreApplied()
     {
         for (const std::uint64_t startedAt : {0, 1000}) {
-            auto brain = informed(registration(5, startedAt, 40));
+            auto brain = instanceWith(registration(5, startedAt, 40));
             brain.tellTargets(6, {registration(6, startedAt, 41, "draining")});
             CPPUNIT_ASSERT(!stateIn(brain)->takesWork());
             CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
@@ -183,10 +183,10 @@
     // registrations stay until they expire, and requests for the old ids are rejected one by one at
     // each of 200 instances. This happens if an old registration stays valid although a later one
     // names its address.
-    void laterRegistrationAtAnAddressEndsTheOneBefore()
+    void laterRegistrationAtAnAddressReplacesTheEarlierOne()
     {
         for (const std::uint64_t startedAt : {0, 1000}) {
-            auto brain = informed(registration(5, startedAt, 40));
+            auto brain = instanceWith(registration(5, startedAt, 40));
             const std::uint64_t later = startedAt == 0 ? 0 : startedAt + 1;
             const std::vector<Platform::StoredRow> both
                 = {registration(5, startedAt, 40), atTheAddressOfA("z", 6, later)};
@@ -204,36 +204,38 @@
     // Guards against a healthy target that gets no more work: another process registers a target
     // that does not exist at its address, the first request for that target is rejected there, and
     // the disproved registration stays in force.
-    void registrationAtAForeignAddressHarmsNobodyForLong()
+    void registrationAtAForeignAddressIsDisprovedByARejection()
     {
-        auto brain = informed(registration(5, 1000, 40));
+        auto brain = instanceWith(registration(5, 1000, 40));
         brain.tellTargets(6, {registration(5, 1000, 40), atTheAddressOfA("z", 6, 2000)});
         brain.book_.all().at(TargetId("z"))->isReplaced_ = true;
         brain.dropMissing();
         CPPUNIT_ASSERT(takesWork(brain, "a"));
-        const auto placed = brain.placer_.place(Fakes::job(brain, "read", 7), brain.now_);
+        const auto placed
+            = brain.placer_.place(Fakes::requestContext(brain, "read", 7), brain.now_);
         CPPUNIT_ASSERT(std::get<Placement>(placed).target_ == stateIn(brain));
     }
 
     void fullTargetIsKnownToOthersAndUnknownOnesAreIgnored()
     {
-        auto teller = informed(registration(5, 1000, 40));
-        auto hearer = informed(registration(5, 1000, 40));
-        const auto &slots = stateIn(teller)->record_.slots_;
-        Policy::learnLoad(stateIn(teller)->sharedLoad_, 9, slots, teller.now_);
-        auto told = teller.book_.loadsToTell(teller.now_);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), told.size());
-        told.push_back({12345, 9, Milliseconds(0)});
-        hearer.book_.hearLoads(told, hearer.now_);
-        const auto &heard = stateIn(hearer)->sharedLoad_;
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::othersByNews(heard, 0, hearer.now_), 1e-9);
+        auto sender = instanceWith(registration(5, 1000, 40));
+        auto receiver = instanceWith(registration(5, 1000, 40));
+        const auto &slots = stateIn(sender)->record_.slots_;
+        Policy::learnLoad(stateIn(sender)->sharedLoad_, 9, slots, sender.now_);
+        auto loads = sender.book_.loadsToTell(sender.now_);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), loads.size());
+        loads.push_back({12345, 9, Milliseconds(0)});
+        receiver.book_.hearLoads(loads, receiver.now_);
+        const auto &receivedLoad = stateIn(receiver)->sharedLoad_;
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::othersByNews(receivedLoad, 0, receiver.now_), 1e-9);
         // A request would now have to wait there.
-        const auto placed = hearer.placer_.place(Fakes::job(hearer, "read", 7), hearer.now_);
+        const auto placed
+            = receiver.placer_.place(Fakes::requestContext(receiver, "read", 7), receiver.now_);
         const auto *placement = std::get_if<Placement>(&placed);
         CPPUNIT_ASSERT(!placement || placement->load_ >= 9);
     }
 
-    void anyOrderOfRegistrationsEndsAtTheLatestRun()
+    void anyOrderOfRegistrationsEndsAtTheLatestIncarnation()
     {
         Support::assertProperty("the latest run is in force, unless it is leaving", [] {
             Brain brain("r-a");
