--- a/Libraries/LibSteering/CrashGuard.h
+++ b/Libraries/LibSteering/CrashGuard.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "Job.h"
-#include "TargetBook.h"
+#include "RequestContext.h"
+#include "TargetRegistry.h"
 
 #include <map>
 #include <string>
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -92,12 +92,12 @@
 } // namespace
 
 Dispatcher::Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-                       const Knowledge &knowledge, Placer &placer, CrashGuard &guard,
+                       const Knowledge &knowledge, Placer &placementEngine, CrashGuard &guard,
                        Observe::DecisionLog &log)
     : context_(context)
     , port_(port)
     , knowledge_(knowledge)
-    , placer_(placer)
+    , placer_(placementEngine)
     , guard_(guard)
     , log_(log)
     , pool_(context)
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "CrashGuard.h"
-#include "Placer.h"
+#include "PlacementEngine.h"
 
 #include <list>
 
@@ -34,7 +34,7 @@
 {
 public:
     Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-               const Knowledge &knowledge, Placer &placer, CrashGuard &guard,
+               const Knowledge &knowledge, Placer &placementEngine, CrashGuard &guard,
                Observe::DecisionLog &log);
 
     /// Answers one caller's request.
--- a/Libraries/LibSteering/Placer.h
+++ b/Libraries/LibSteering/PlacementEngine.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Job.h"
+#include "RequestContext.h"
 
 #include <random>
 #include <unordered_map>
--- a/Libraries/LibSteering/PlacerLearning.cpp
+++ b/Libraries/LibSteering/PlacementLearning.cpp
@@ -1,4 +1,4 @@
-#include "Placer.h"
+#include "PlacementEngine.h"
 
 #include <algorithm>
 
--- a/Libraries/LibSteering/Job.cpp
+++ b/Libraries/LibSteering/RequestContext.cpp
@@ -1,4 +1,4 @@
-#include "Job.h"
+#include "RequestContext.h"
 
 namespace Steering {
 
--- a/Libraries/LibSteering/Job.h
+++ b/Libraries/LibSteering/RequestContext.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "TargetBook.h"
+#include "TargetRegistry.h"
 
 #include <cstdint>
 #include <optional>
--- a/Libraries/LibSteering/TargetBook.cpp
+++ b/Libraries/LibSteering/TargetRegistry.cpp
@@ -1,4 +1,4 @@
-#include "TargetBook.h"
+#include "TargetRegistry.h"
 
 #include <algorithm>
 
--- a/Tests/LibSteering/TestSpares.cpp
+++ b/Tests/LibSteering/TestIdleConnections.cpp
@@ -6,9 +6,9 @@
 
 using Fakes::Brain;
 
-class TestSpares : public CppUnit::TestFixture
+class TestIdleConnections : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestSpares);
+    CPPUNIT_TEST_SUITE(TestIdleConnections);
     CPPUNIT_TEST(targetsKnownBeforeTheTableAreSkipped);
     CPPUNIT_TEST_SUITE_END();
 
@@ -32,4 +32,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestSpares);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestIdleConnections);
--- a/Tests/LibSteering/TestLoads.cpp
+++ b/Tests/LibSteering/TestLoads.cpp
@@ -13,7 +13,7 @@
 
 constexpr Milliseconds goal{400};
 constexpr Milliseconds length{20000};
-/// Objects of one kind of request; the largest known deployment has this many.
+/// Objects of one kind of request, as many as the users' largest kind has.
 constexpr std::uint64_t objects = 76;
 
 /// Three regions with 2, 12 and 14 targets of six slots, and one entry in each region.
@@ -109,7 +109,7 @@
     // Guards against requests that hang for seconds after a target lost power: it stops answering,
     // but its registration stays for a few seconds. This happens if a target is judged only by its
     // answers. The target owns about 6 of 76 objects, which is 13 of each region's 167 requests per
-    // second; without detection by missing answers, all of them are lost for 20 s.
+    // second; without detection by missing answers, all of them are lost during the 20 s.
     void unresponsiveTargetCostsFewRequests()
     {
         const UnevenSite site;
--- a/Tests/LibSteering/TestPlacer.cpp
+++ b/Tests/LibSteering/TestPlacementEngine.cpp
@@ -35,9 +35,9 @@
     return placement ? placement->target_->record_.id_.value() : "refused";
 }
 
-class TestPlacer : public CppUnit::TestFixture
+class TestPlacementEngine : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestPlacer);
+    CPPUNIT_TEST_SUITE(TestPlacementEngine);
     CPPUNIT_TEST(entriesOfADomainAgreeWithoutAMessage);
     CPPUNIT_TEST(objectsOfTheRichRegionsStay);
     CPPUNIT_TEST(aReplacedTargetMovesFewObjects);
@@ -173,4 +173,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestPlacer);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestPlacementEngine);
--- a/Tests/LibSteering/TestTargetBook.cpp
+++ b/Tests/LibSteering/TestTargetRegistry.cpp
@@ -22,9 +22,9 @@
     return row;
 }
 
-class TestTargetBook : public CppUnit::TestFixture
+class TestTargetRegistry : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestTargetBook);
+    CPPUNIT_TEST_SUITE(TestTargetRegistry);
     CPPUNIT_TEST(laterIncarnationStartsWithFreshState);
     CPPUNIT_TEST(answersOfAnEarlierIncarnationDoNotCountForALaterOne);
     CPPUNIT_TEST(earlierIncarnationNeverReplacesALaterOne);
@@ -266,4 +266,4 @@
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestTargetBook);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestTargetRegistry);
