--- a/Libraries/LibPeers/Gossip.cpp
+++ b/Libraries/LibPeers/Gossip.cpp
@@ -136,10 +136,10 @@
     return answer;
 }
 
-PullNews takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
+PullResult takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
                       Model::SteadyTime now)
 {
-    PullNews news;
+    PullResult news;
     news.responder_ = fromMessage(answer.responder());
     news.responderIsReady_ = answer.responder_ready();
     news.responderVersion_ = Model::TableVersion(answer.table_version());
@@ -155,7 +155,7 @@
             continue;
         if (isSameRegion(state, summary->region_)) {
             // The last word of entries that died long ago is nothing that a new one could spoil.
-            news.ownRegionIsSpokenFor_ |= summary->age_ <= summaryLifetime;
+            news.localRegionHasSummary_ |= summary->age_ <= summaryLifetime;
             continue;
         }
         news.liveChanged_ |= takeIn(state.members_, *summary, now);
--- a/Libraries/LibPeers/Gossip.h
+++ b/Libraries/LibPeers/Gossip.h
@@ -27,12 +27,12 @@
                                    Model::SteadyTime now);
 
 /// What an answer brought.
-struct PullNews
+struct PullResult
 {
     bool tableChanged_ = false;
     bool liveChanged_ = false;
     /// The answer had a fresh summary of the asker's own region.
-    bool ownRegionIsSpokenFor_ = false;
+    bool localRegionHasSummary_ = false;
     /// Who answered; nothing if the answer could not be read.
     std::optional<Model::Instance> responder_;
     bool responderIsReady_ = false;
@@ -42,7 +42,7 @@
 /// Takes in a peer's answer. A part that breaks a rule is dropped whole, the rest is kept.
 ///
 /// Thread safety: none.
-PullNews takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
+PullResult takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
                       Model::SteadyTime now);
 
 } // namespace Peers
--- a/Services/Controld/ControlSnapshots.cpp
+++ b/Services/Controld/ControlSnapshots.cpp
@@ -8,36 +8,36 @@
 
 namespace {
 
-constexpr Milliseconds snapshotPause{50};
-constexpr Milliseconds routineSnapshotPause{400};
+constexpr Milliseconds snapshotInterval{50};
+constexpr Milliseconds routineSnapshotInterval{400};
 
-void mixRecord(std::size_t &print, const Peers::InstanceRecord &record, bool isAlive)
+void hashRecord(std::size_t &fingerprint, const Peers::InstanceRecord &record, bool isAlive)
 {
-    boost::hash_combine(print, record.instance_.id_.value());
-    boost::hash_combine(print, record.incarnation_.value());
+    boost::hash_combine(fingerprint, record.instance_.id_.value());
+    boost::hash_combine(fingerprint, record.incarnation_.value());
     for (const bool flag : {record.instance_.isLeaving_, record.isReady_, record.isStarting_,
                             record.entryVersion_.value() > 0, isAlive})
-        boost::hash_combine(print, flag);
+        boost::hash_combine(fingerprint, flag);
     for (const auto &walked : record.walked_)
-        boost::hash_combine(print, walked.service_.value() + walked.origin_.value());
+        boost::hash_combine(fingerprint, walked.service_.value() + walked.origin_.value());
 }
 
 } // namespace
 
-std::size_t ControlState::urgentPrint() const
+std::size_t ControlState::urgentFingerprint() const
 {
     const auto now = std::chrono::steady_clock::now();
-    std::size_t print = gossip_.members_.marks_.marks_.size();
-    mixRecord(print, gossip_.self_, true);
+    std::size_t fingerprint = gossip_.members_.marks_.marks_.size();
+    hashRecord(fingerprint, gossip_.self_, true);
     for (const auto &[id, member] : gossip_.members_.members_)
-        mixRecord(print, member.record_, Peers::isAlive(member, now));
+        hashRecord(fingerprint, member.record_, Peers::isAlive(member, now));
     for (const auto &[region, summary] : gossip_.members_.summaries_) {
-        boost::hash_combine(print, region.value());
-        boost::hash_combine(print, summary.contacts_.size());
+        boost::hash_combine(fingerprint, region.value());
+        boost::hash_combine(fingerprint, summary.contacts_.size());
         for (const auto &load : summary.loads_)
-            boost::hash_combine(print, load.slots_.value() > 0);
+            boost::hash_combine(fingerprint, load.slots_.value() > 0);
     }
-    return print;
+    return fingerprint;
 }
 
 cassiacrank::LiveState ControlState::liveState() const
@@ -46,7 +46,7 @@
     cassiacrank::LiveState live;
     live.set_ready(gossip_.self_.isReady_);
     live.set_leaving(gossip_.self_.instance_.isLeaving_);
-    live.set_starting(!knowsRegions_);
+    live.set_starting(!allRegionsKnown_);
     *live.add_members() = Peers::toMessage(gossip_.self_);
     for (const auto &[id, member] : gossip_.members_.members_) {
         if (Peers::isAlive(member, now))
@@ -67,17 +67,17 @@
     return live;
 }
 
-cassiacrank::Snapshot ControlState::waitForSnapshot(SentMarks &sent, bool &isClosed)
+cassiacrank::Snapshot ControlState::waitForSnapshot(SentState &sent, bool &isClosed)
 {
     std::unique_lock lock(mutex_);
-    const auto hasUrgentNews = [&] {
+    const auto hasUrgentUpdate = [&] {
         return isClosed_ || gossip_.table_.version_ > sent.table_ || blocksCount_ != sent.blocks_;
     };
-    // Small news is gathered for a moment; a new table goes out at once. Heartbeats and loads come
-    // far more often than anything that matters, and each snapshot costs three processes time.
-    changed_.wait_for(lock, snapshotPause, hasUrgentNews);
-    changed_.wait_for(lock, routineSnapshotPause, [&] {
-        return hasUrgentNews() || changeCount_ != sent.changes_;
+    // Small changes are batched briefly; a new table is sent at once. Heartbeats and loads arrive
+    // far more often than urgent changes, and each snapshot costs CPU time in three processes.
+    changed_.wait_for(lock, snapshotInterval, hasUrgentUpdate);
+    changed_.wait_for(lock, routineSnapshotInterval, [&] {
+        return hasUrgentUpdate() || changeCount_ != sent.changes_;
     });
     isClosed = isClosed_;
 
--- a/Services/Controld/ControlState.cpp
+++ b/Services/Controld/ControlState.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 constexpr Milliseconds reportLifetime{1000};
-/// News goes round within this time, so rounds are frequent for as long after each.
-constexpr Milliseconds spreadingTime{4000};
-/// A region that nobody has heard of holds back a fresh instance no longer than this.
-constexpr Milliseconds regionPatience{5000};
-/// Silent members are remembered this long, so that an old record is not taken for a newcomer.
-constexpr Milliseconds memberMemory{120000};
+/// A change reaches all peers within this time; gossip rounds stay frequent for this long after one.
+constexpr Milliseconds gossipConvergenceTime{4000};
+/// A region without any known summary delays a new instance for at most this duration.
+constexpr Milliseconds regionDiscoveryTimeout{5000};
+/// Silent members are kept this long, so that an old record is not mistaken for a new instance.
+constexpr Milliseconds silentMemberRetention{120000};
 
 Model::SteadyTime steadyNow()
 {
@@ -60,7 +60,7 @@
     start_.storeVersion_ = gossip_.table_.version_;
     if (Policy::mayApply(before, gossip_.table_.version_))
         onTableChanged();
-    judgeReadiness();
+    updateReadiness();
 }
 
 void ControlState::onStoreFailure()
@@ -78,7 +78,7 @@
         return;
     listed_ = std::move(instances);
     Observe::logEvent(Event::InstanceListChanged, {{"count", std::to_string(listed_.size())}});
-    noteChange();
+    recordChange();
 }
 
 void ControlState::onClientBlocks(const std::string &text)
@@ -97,39 +97,40 @@
     return gossip_.table_.seen_;
 }
 
-void ControlState::beat()
+void ControlState::advanceHeartbeat()
 {
     const std::lock_guard lock(mutex_);
     ++gossip_.self_.heartbeat_;
     expireReports();
-    Peers::forgetSilent(gossip_.members_, memberMemory, steadyNow());
+    Peers::forgetSilent(gossip_.members_, silentMemberRetention, steadyNow());
     refreshSummary();
-    judgeCrashes();
+    updateQuarantines();
     if (steadyNow() - startedAt_ >= Policy::startPatience)
         start_.peersHadTheirSay_ = true;
-    judgeReadiness();
-    judgeRegions();
-    noteRoutine();
+    updateReadiness();
+    updateAllRegionsKnown();
+    recordUrgentChange();
 }
 
-void ControlState::judgeCrashes()
+void ControlState::updateQuarantines()
 {
-    const auto verdicts = Policy::judge(gossip_.crashes_, steadyNow());
-    for (const auto &print : verdicts.quarantined_)
-        Observe::logEvent(Event::RequestQuarantined, {{"print", toText(print)}});
-    for (const auto &print : verdicts.lifted_)
-        Observe::logEvent(Event::QuarantineLifted, {{"print", toText(print)}});
-    noteCrashes();
+    const auto changes = Policy::judge(gossip_.crashes_, steadyNow());
+    for (const auto &fingerprint : changes.quarantined_)
+        Observe::logEvent(Event::RequestQuarantined, {{"print", toText(fingerprint)}});
+    for (const auto &fingerprint : changes.lifted_)
+        Observe::logEvent(Event::QuarantineLifted, {{"print", toText(fingerprint)}});
+    recordCrashChanges();
 }
 
-/// Has everybody told at once of what is new about ended targets and quarantines.
-void ControlState::noteCrashes()
+/// Sends new crash records and quarantine changes to the subscribers without delay.
+void ControlState::recordCrashChanges()
 {
     if (std::exchange(gossip_.crashes_.isChanged_, false))
-        noteChange();
+        recordChange();
 }
 
-/// A process that died without a word stops reporting; the instance is then not named as an entry.
+/// Clears the versions of processes that stopped reporting, for example after a crash, so that the
+/// instance is not listed as an entry.
 void ControlState::expireReports()
 {
     if (steadyNow() - entryReportAt_ > reportLifetime) {
@@ -140,15 +141,16 @@
         gossip_.self_.lookupVersion_ = Model::TableVersion(0);
 }
 
-/// Speaks for the region, once this process has had time to hear of every live member.
+/// Updates the summary of the local region, once the process has had time to learn of every live
+/// member.
 ///
-/// What goes wrong without the wait: a process that has just started knows nobody, its summary is
-/// the newest, and every other region believes for a moment that this one has no entries. Where
-/// nobody has heard anything of the region yet there is nothing to spoil, and others wait for it.
+/// Without the wait, a process that has just started publishes a summary that knows no members but
+/// is the newest, and other regions briefly assume that this one has no entries. If no peer has a
+/// summary of the region, there is no wait: none can be replaced, and other regions wait for one.
 void ControlState::refreshSummary()
 {
     const bool isNew = steadyNow() - startedAt_ < Peers::memberLifetime;
-    if (isNew && (ownRegionIsSpokenFor_ || !start_.peersHadTheirSay_))
+    if (isNew && (localRegionHasSummary_ || !start_.peersHadTheirSay_))
         return;
     Peers::Members all = gossip_.members_;
     all.members_[gossip_.self_.instance_.id_] = {gossip_.self_, steadyNow()};
@@ -170,36 +172,36 @@
 {
     const std::lock_guard lock(mutex_);
     auto answer = Peers::answerPull(gossip_, request, steadyNow());
-    noteCrashes();
-    noteRoutine();
+    recordCrashChanges();
+    recordUrgentChange();
     return answer;
 }
 
 void ControlState::onPullAnswer(const cassiacrank::PullAnswer &answer)
 {
     const std::lock_guard lock(mutex_);
-    const auto news = Peers::takeInAnswer(gossip_, answer, steadyNow());
-    if (!news.responder_)
+    const auto result = Peers::takeInAnswer(gossip_, answer, steadyNow());
+    if (!result.responder_)
         return;
     start_.peersHadTheirSay_ = true;
-    ownRegionIsSpokenFor_ |= news.ownRegionIsSpokenFor_;
-    if (news.responder_->domain_ != settings_.domain_ && news.responderIsReady_) {
-        auto &version = start_.peerVersions_[news.responder_->domain_];
-        version = std::max(version, news.responderVersion_);
+    localRegionHasSummary_ |= result.localRegionHasSummary_;
+    if (result.responder_->domain_ != settings_.domain_ && result.responderIsReady_) {
+        auto &version = start_.peerVersions_[result.responder_->domain_];
+        version = std::max(version, result.responderVersion_);
     }
-    if (news.tableChanged_)
+    if (result.tableChanged_)
         onTableChanged();
-    noteCrashes();
-    if (news.liveChanged_)
-        noteRoutine();
-    judgeReadiness();
-    judgeRegions();
+    recordCrashChanges();
+    if (result.liveChanged_)
+        recordUrgentChange();
+    updateReadiness();
+    updateAllRegionsKnown();
 }
 
-std::vector<PeerTarget> ControlState::peerTargets() const
+std::vector<PeerCandidate> ControlState::peerCandidates() const
 {
     const std::lock_guard lock(mutex_);
-    std::vector<PeerTarget> targets;
+    std::vector<PeerCandidate> targets;
     std::set<Model::Address> seen = {settings_.addresses_.control_};
     const auto add
         = [&](const Model::InstanceId &id, const Model::Address &address, bool isSameRegion) {
@@ -216,7 +218,7 @@
         for (const auto &contact : summary.contacts_)
             add(contact.id_, contact.addresses_.control_, region == settings_.region_);
     }
-    // A seed's region is not known; asking as for the own region only costs some bytes.
+    // A seed's region is unknown; a request as for the local region only costs some extra bytes.
     for (const auto &seed : settings_.seeds_)
         add(Model::InstanceId(), seed, true);
     return targets;
@@ -225,7 +227,7 @@
 bool ControlState::isQuiet() const
 {
     const std::lock_guard lock(mutex_);
-    return steadyNow() - changedAt_ > spreadingTime;
+    return steadyNow() - changedAt_ > gossipConvergenceTime;
 }
 
 std::size_t ControlState::fleetSize() const
@@ -245,10 +247,10 @@
     } else {
         entryReportAt_ = steadyNow();
         self.entryVersion_ = version;
-        // The entry's own word: named before it knows that it may, it would refuse the callers.
+        // As reported by the entry: if it were listed before it is ready, it would refuse callers.
         self.isStarting_ = report.starting();
-        // The mark of a leaving instance is sticky for its incarnation, so an entry that comes back
-        // after a planned stop needs a new one.
+        // The leaving flag of an instance is permanent for its incarnation, so an entry that
+        // restarts after a planned stop needs a new incarnation.
         if (entryIsStopping_ && !report.stopping() && !isLeaving_) {
             self.incarnation_ += Model::Incarnation(1);
             self.instance_.isLeaving_ = false;
@@ -265,15 +267,15 @@
         self.instance_.isLeaving_ = true;
         ++self.heartbeat_;
     }
-    bool isNews = false;
+    bool isChanged = false;
     for (const auto &mark : report.marks()) {
-        isNews |= Policy::markLeaving(gossip_.members_.marks_, Model::TargetId(mark.target()),
+        isChanged |= Policy::markLeaving(gossip_.members_.marks_, Model::TargetId(mark.target()),
                                       Model::Incarnation(mark.incarnation()));
     }
     Policy::takeIn(gossip_.crashes_, Peers::fromMessage(report.crashes()), steadyNow());
-    noteCrashes();
-    if (isNews || report.stopping())
-        noteChange();
+    recordCrashChanges();
+    if (isChanged || report.stopping())
+        recordChange();
 }
 
 void ControlState::beginLeaving()
@@ -282,7 +284,7 @@
     isLeaving_ = true;
     gossip_.self_.instance_.isLeaving_ = true;
     ++gossip_.self_.heartbeat_;
-    noteChange();
+    recordChange();
 }
 
 bool ControlState::isReady() const
@@ -291,24 +293,24 @@
     return gossip_.self_.isReady_;
 }
 
-void ControlState::judgeReadiness()
+void ControlState::updateReadiness()
 {
     start_.heldVersion_ = gossip_.table_.version_;
     if (gossip_.self_.isReady_ || !Policy::mayServe(start_))
         return;
     gossip_.self_.isReady_ = true;
     Observe::logEvent(Event::Ready, {{"version", std::to_string(start_.heldVersion_.value())}});
-    noteChange();
+    recordChange();
 }
 
-/// Lets callers be sent here once it is known where every region of the table stands.
+/// Allows callers to be sent here once the state of every region in the table is known.
 ///
-/// What goes wrong without it: a fresh instance whose first answer came from another fresh one has
-/// heard of no other region. Its entry takes them for dead, may not move their shares faster than
-/// the cap, and refuses requests (ShiftLimited) in the middle of a planned replacement.
-void ControlState::judgeRegions()
+/// Without this check, a new instance whose first answer came from another new one knows no other
+/// region. Its entry considers those regions failed, may not move their shares faster than the cap,
+/// and refuses requests (ShiftLimited) in the middle of a planned replacement.
+void ControlState::updateAllRegionsKnown()
 {
-    if (knowsRegions_ || !gossip_.self_.isReady_)
+    if (allRegionsKnown_ || !gossip_.self_.isReady_)
         return;
     const auto now = steadyNow();
     const auto &rows = gossip_.table_.rows_;
@@ -318,10 +320,10 @@
                              && key.name_ != settings_.region_.value();
         return !isOther || Peers::isKnown(gossip_.members_, Model::RegionId(key.name_), now);
     });
-    if (!allKnown && now - startedAt_ < regionPatience)
+    if (!allKnown && now - startedAt_ < regionDiscoveryTimeout)
         return;
-    knowsRegions_ = true;
-    noteChange();
+    allRegionsKnown_ = true;
+    recordChange();
 }
 
 void ControlState::onTableChanged()
@@ -329,42 +331,42 @@
     gossip_.self_.controlVersion_ = gossip_.table_.version_;
     Observe::logEvent(Event::TableApplied,
                       {{"version", std::to_string(gossip_.table_.version_.value())}});
-    noteChange();
+    recordChange();
 }
 
-void ControlState::noteChange()
+void ControlState::recordChange()
 {
     ++changeCount_;
     changedAt_ = steadyNow();
     changed_.notify_all();
 }
 
-void ControlState::noteRoutine()
+void ControlState::recordUrgentChange()
 {
-    const std::size_t print = urgentPrint();
-    if (print == lastUrgentPrint_)
+    const std::size_t fingerprint = urgentFingerprint();
+    if (fingerprint == lastUrgentFingerprint_)
         return;
-    lastUrgentPrint_ = print;
-    noteChange();
+    lastUrgentFingerprint_ = fingerprint;
+    recordChange();
 }
 
-void ControlState::onSubscriberCame()
+void ControlState::onSubscriberConnected()
 {
     const std::lock_guard lock(mutex_);
     ++subscribers_;
 }
 
-void ControlState::onSubscriberGone()
+void ControlState::onSubscriberDisconnected()
 {
     const std::lock_guard lock(mutex_);
     --subscribers_;
     changed_.notify_all();
 }
 
-void ControlState::waitForSubscribersToGo(Milliseconds patience)
+void ControlState::waitForSubscribersToDisconnect(Milliseconds timeout)
 {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, patience, [this] {
+    changed_.wait_for(lock, timeout, [this] {
         return subscribers_ == 0;
     });
 }
--- a/Services/Controld/ControlState.h
+++ b/Services/Controld/ControlState.h
@@ -10,24 +10,24 @@
 
 namespace Controld {
 
-/// Where a peer can be asked, and whether it is of the own region.
-struct PeerTarget
+/// The address of a peer's control process, and whether the peer is in the local region.
+struct PeerCandidate
 {
     Model::InstanceId id_;
     Model::Address address_;
     bool isSameRegion_ = false;
 };
 
-/// What a subscriber has been sent already.
-struct SentMarks
+/// The state that a subscriber has already received.
+struct SentState
 {
     Model::TableVersion table_;
     std::uint64_t changes_ = 0;
     std::uint64_t blocks_ = 0;
 };
 
-/// All that the control process knows, behind one lock: the threads of gRPC and the timers share
-/// it. None of them is on the path of a request.
+/// The state of the control process, shared by the gRPC threads and the timers under one lock.
+/// None of these threads is on the path of a request.
 ///
 /// Thread safety: every method may be called from any thread.
 class ControlState
@@ -35,55 +35,55 @@
 public:
     explicit ControlState(const Observe::Settings &settings, Model::Incarnation incarnation);
 
-    /// Takes in an answer of the store's rows under the table's prefix.
+    /// Merges the store's rows under the table's prefix.
     void onStoreRows(const Platform::StoredRows &rows);
     void onStoreFailure();
     void onInstances(std::vector<Model::Instance> instances);
     void onClientBlocks(const std::string &text);
     Platform::Revision seenRevision() const;
 
-    /// Counts one heartbeat and forgets what is too old.
-    void beat();
+    /// Increments the heartbeat and drops expired state.
+    void advanceHeartbeat();
     cassiacrank::PullRequest makePull(bool isSameRegion) const;
     cassiacrank::PullAnswer answerPull(const cassiacrank::PullRequest &request);
     void onPullAnswer(const cassiacrank::PullAnswer &answer);
-    /// Returns whom a gossip round may ask, the instance itself left out.
-    std::vector<PeerTarget> peerTargets() const;
+    /// Returns the peers that a gossip round may query, without the local instance.
+    std::vector<PeerCandidate> peerCandidates() const;
     std::size_t fleetSize() const;
-    /// Tells whether nothing changed of late that the others must hear of soon.
+    /// Returns whether there is no recent change that still has to spread to the peers.
     bool isQuiet() const;
 
     void onReport(const cassiacrank::ProcessReport &report);
 
-    /// Marks the instance as leaving; every process learns of it.
+    /// Marks the instance as leaving and sends this to every process.
     void beginLeaving();
     bool isReady() const;
 
-    /// Waits until there is something that \a sent lacks, or for a while, and returns it.
-    cassiacrank::Snapshot waitForSnapshot(SentMarks &sent, bool &isClosed);
-    void onSubscriberCame();
-    void onSubscriberGone();
-    /// Waits until no process of the instance follows this one, at most \a patience.
-    void waitForSubscribersToGo(Model::Milliseconds patience);
-    /// Ends every waitForSnapshot().
+    /// Waits for changes that \a sent does not include, or for a limited time, and returns a snapshot.
+    cassiacrank::Snapshot waitForSnapshot(SentState &sent, bool &isClosed);
+    void onSubscriberConnected();
+    void onSubscriberDisconnected();
+    /// Waits until no process of the instance is subscribed, for at most \a patience.
+    void waitForSubscribersToDisconnect(Model::Milliseconds timeout);
+    /// Wakes every waitForSnapshot() call and marks its stream as closed.
     void close();
 
     /// Returns the JSON of /status.
     std::string statusText() const;
 
 private:
-    void judgeReadiness();
-    void judgeRegions();
+    void updateReadiness();
+    void updateAllRegionsKnown();
     void onTableChanged();
-    /// Has the subscribers told within snapshotPause.
-    void noteChange();
-    /// Has them told with the next routine snapshot, unless something urgent changed with it.
-    void noteRoutine();
-    /// Returns a number that changes when a member comes, goes, leaves or becomes ready, or a
-    /// target is marked: what requests are placed by at once.
-    std::size_t urgentPrint() const;
-    void judgeCrashes();
-    void noteCrashes();
+    /// Records a change, which is sent to the subscribers after at most one snapshot interval.
+    void recordChange();
+    /// Records a change only if urgentFingerprint() changed; other changes wait for the next snapshot.
+    void recordUrgentChange();
+    /// Returns a hash of the state that affects placement at once: members that join, fail, leave
+    /// or become ready, and targets with a leaving marker.
+    std::size_t urgentFingerprint() const;
+    void updateQuarantines();
+    void recordCrashChanges();
     void expireReports();
     cassiacrank::LiveState liveState() const;
     void refreshSummary();
@@ -96,7 +96,7 @@
     std::vector<Model::Instance> listed_;
     std::string clientBlocks_;
     std::uint64_t changeCount_ = 1;
-    std::size_t lastUrgentPrint_ = 0;
+    std::size_t lastUrgentFingerprint_ = 0;
     Model::SteadyTime changedAt_;
     std::uint64_t blocksCount_ = 0;
     Model::SteadyTime startedAt_;
@@ -106,10 +106,10 @@
     bool isLeaving_ = false;
     bool isClosed_ = false;
     bool storeIsDown_ = false;
-    /// Somebody had a summary of the own region, so others know where it stands.
-    bool ownRegionIsSpokenFor_ = false;
-    /// It is known where every region of the table stands, or was waited for long enough.
-    bool knowsRegions_ = false;
+    /// A peer had a fresh summary of the local region, so other regions know its state.
+    bool localRegionHasSummary_ = false;
+    /// The state of every region in the table is known, or the wait for it has timed out.
+    bool allRegionsKnown_ = false;
     int subscribers_ = 0;
 };
 
--- a/Services/Controld/GossipRounds.cpp
+++ b/Services/Controld/GossipRounds.cpp
@@ -26,33 +26,33 @@
     Http::asio::co_spawn(context_, run(), Http::asio::detached);
 }
 
-std::uint64_t GossipRounds::draw()
+std::uint64_t GossipRounds::nextRandom()
 {
     random_ = Policy::rendezvousScore(std::to_string(random_), "draw");
     return random_;
 }
 
-std::vector<PeerTarget> GossipRounds::choose(std::vector<PeerTarget> targets)
+std::vector<PeerCandidate> GossipRounds::selectPeers(std::vector<PeerCandidate> targets)
 {
-    std::vector<PeerTarget> near;
+    std::vector<PeerCandidate> localPeers;
     for (const auto &target : targets) {
         if (target.isSameRegion_)
-            near.push_back(target);
+            localPeers.push_back(target);
     }
-    std::vector<PeerTarget> chosen;
-    for (std::size_t position : Policy::choosePeers(near.size(), 1, {draw()}))
-        chosen.push_back(near[position]);
+    std::vector<PeerCandidate> chosen;
+    for (std::size_t position : Policy::choosePeers(localPeers.size(), 1, {nextRandom()}))
+        chosen.push_back(localPeers[position]);
 
     const auto others = static_cast<std::size_t>(settings_.gossipPeers_ - 1);
     std::vector<std::uint64_t> draws;
     for (std::size_t i = 0; i < others; ++i)
-        draws.push_back(draw());
+        draws.push_back(nextRandom());
     for (std::size_t position : Policy::choosePeers(targets.size(), others, draws))
         chosen.push_back(targets[position]);
     return chosen;
 }
 
-void GossipRounds::ask(const PeerTarget &peer)
+void GossipRounds::sendPull(const PeerCandidate &peer)
 {
     client_.pull(peer.address_, state_.makePull(peer.isSameRegion_), pullTimeout,
                  [&state = state_](const cassiacrank::PullAnswer *answer) {
@@ -64,10 +64,10 @@
 Http::Task<void> GossipRounds::run()
 {
     while (true) {
-        state_.beat();
-        for (const auto &peer : choose(state_.peerTargets()))
-            ask(peer);
-        // Heartbeats alone do not need the frequent rounds that news needs.
+        state_.advanceHeartbeat();
+        for (const auto &peer : selectPeers(state_.peerCandidates()))
+            sendPull(peer);
+        // Heartbeats alone do not need rounds as frequent as those that spread a change.
         const int periods = state_.isQuiet() ? quietPeriods : 1;
         co_await Http::sleepFor(periods * settings_.gossipPeriod_);
     }
--- a/Services/Controld/GossipRounds.h
+++ b/Services/Controld/GossipRounds.h
@@ -6,7 +6,7 @@
 
 namespace Controld {
 
-/// Asks a few random peers in each round: one of the own region, the others of anywhere.
+/// Pulls from a few random peers in each round: one in the local region, the others in any region.
 ///
 /// Thread safety: start() and the coroutine run on the io_context's thread.
 class GossipRounds
@@ -19,9 +19,9 @@
 
 private:
     Http::Task<void> run();
-    void ask(const PeerTarget &peer);
-    std::vector<PeerTarget> choose(std::vector<PeerTarget> targets);
-    std::uint64_t draw();
+    void sendPull(const PeerCandidate &peer);
+    std::vector<PeerCandidate> selectPeers(std::vector<PeerCandidate> targets);
+    std::uint64_t nextRandom();
 
     Http::asio::io_context &context_;
     const Observe::Settings &settings_;
--- a/Services/Controld/PeerService.cpp
+++ b/Services/Controld/PeerService.cpp
@@ -2,7 +2,7 @@
 
 namespace Controld {
 
-// The names of these methods are those of the generated code.
+// The method names are given by the generated gRPC code.
 // NOLINTBEGIN(readability-identifier-naming)
 
 grpc::Status PeerService::Pull(grpc::ServerContext *, const cassiacrank::PullRequest *request,
@@ -16,15 +16,15 @@
                                      const cassiacrank::SubscribeRequest *,
                                      grpc::ServerWriter<cassiacrank::Snapshot> *writer)
 {
-    state_.onSubscriberCame();
-    SentMarks sent;
+    state_.onSubscriberConnected();
+    SentState sent;
     bool isClosed = false;
     while (!isClosed && !context->IsCancelled()) {
         const cassiacrank::Snapshot snapshot = state_.waitForSnapshot(sent, isClosed);
         if (!writer->Write(snapshot))
             break;
     }
-    state_.onSubscriberGone();
+    state_.onSubscriberDisconnected();
     return grpc::Status::OK;
 }
 
--- a/Services/Controld/PeerService.h
+++ b/Services/Controld/PeerService.h
@@ -7,7 +7,7 @@
 
 namespace Controld {
 
-/// Answers the control processes of other instances.
+/// Answers pull requests from the control processes of other instances.
 ///
 /// Thread safety: called by gRPC on any of its threads.
 class PeerService final : public cassiacrank::Peers::Service
@@ -25,8 +25,8 @@
     ControlState &state_;
 };
 
-/// Serves the processes of the own instance. It listens on an address of its own, so that no other
-/// instance can report in their name.
+/// Serves the processes of the local instance. It listens on a separate address, so that no other
+/// instance can send reports on their behalf.
 ///
 /// Thread safety: called by gRPC on any of its threads.
 class LocalService final : public cassiacrank::Control::Service
--- a/Services/Controld/StorePoller.cpp
+++ b/Services/Controld/StorePoller.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// The table is what must be in force soon; the list and the map of blocks change slowly.
+/// Share of the read budget for the table, which must apply soon; the rest changes slowly.
 constexpr double tableShare = 0.8;
 constexpr double listShare = 0.1;
 constexpr const char *clientBlocksObject = "client-blocks";
-/// Until the instance is ready it polls at this pace: it cannot serve before it has the table.
-constexpr Milliseconds startPause{100};
+/// Poll interval until the instance is ready: it cannot serve before it has the table.
+constexpr Milliseconds startPollInterval{100};
 
 } // namespace
 
@@ -35,11 +35,11 @@
     Http::asio::co_spawn(context_, pollList(), Http::asio::detached);
 }
 
-Milliseconds StorePoller::pausePer(double shareOfBudget)
+Milliseconds StorePoller::pollInterval(double shareOfBudget)
 {
     const double budget = settings_.fleetStoreReadsPerSecond_ * shareOfBudget;
     const Milliseconds period = Policy::pollPeriod(state_.fleetSize(), budget);
-    // Spread by a quarter either way, so that instances that started together do not poll together.
+    // Jitter of +/-25 %, so that instances that started together do not poll together.
     random_ = random_ * 6364136223846793005ULL + 1442695040888963407ULL;
     const double spread = 0.75 + 0.5 * static_cast<double>(random_ >> 40) / (1 << 24);
     return Milliseconds(static_cast<long long>(static_cast<double>(period.count()) * spread));
@@ -56,8 +56,8 @@
         } else {
             state_.onStoreFailure();
         }
-        const Milliseconds pause = state_.isReady() ? pausePer(tableShare) : startPause;
-        co_await Http::sleepFor(pause);
+        const Milliseconds interval = state_.isReady() ? pollInterval(tableShare) : startPollInterval;
+        co_await Http::sleepFor(interval);
     }
 }
 
@@ -70,8 +70,8 @@
         const auto blocks = co_await Platform::readObject(store_, clientBlocksObject);
         if (blocks)
             state_.onClientBlocks(*blocks);
-        const Milliseconds pause = state_.isReady() ? 2 * pausePer(listShare) : startPause;
-        co_await Http::sleepFor(pause);
+        const Milliseconds interval = state_.isReady() ? 2 * pollInterval(listShare) : startPollInterval;
+        co_await Http::sleepFor(interval);
     }
 }
 
--- a/Services/Controld/StorePoller.h
+++ b/Services/Controld/StorePoller.h
@@ -7,10 +7,11 @@
 
 namespace Controld {
 
-/// Reads the table, the instance list and the map of client blocks from the platform, at a pace
-/// that keeps the reads of the whole fleet constant whatever its size.
+/// Polls the table, the instance list and the map of client blocks from the platform, at a rate
+/// that keeps the total reads of the fleet constant regardless of its size.
 ///
-/// Thread safety: start() and the coroutines run on the io_context's thread; counts from any.
+/// Thread safety: start() and the coroutines run on the io_context's thread; reads() may be called
+/// from any thread.
 class StorePoller
 {
 public:
@@ -23,7 +24,7 @@
 private:
     Http::Task<void> pollTable();
     Http::Task<void> pollList();
-    Model::Milliseconds pausePer(double shareOfBudget);
+    Model::Milliseconds pollInterval(double shareOfBudget);
 
     const Observe::Settings &settings_;
     ControlState &state_;
--- a/Services/Controld/main.cpp
+++ b/Services/Controld/main.cpp
@@ -11,10 +11,10 @@
 using Observe::Event;
 using Observe::ExitCode;
 
-/// How long a stop waits for entryd and lookupd to finish before it goes without them.
-constexpr Model::Milliseconds stopPatience{30000};
-/// How long the mark of a leaving instance may take to reach the others.
-constexpr Model::Milliseconds farewell{600};
+/// How long a stop waits for entryd and lookupd to disconnect before it proceeds without them.
+constexpr Model::Milliseconds disconnectTimeout{30000};
+/// Time allowed for the leaving flag to reach the peers.
+constexpr Model::Milliseconds leavingPropagationTime{600};
 
 std::unique_ptr<grpc::Server> listen(const Model::Address &address, grpc::Service &service)
 {
@@ -88,8 +88,8 @@
     Observe::waitForStopSignal();
     Observe::logEvent(Event::StopRequested);
     state.beginLeaving();
-    std::this_thread::sleep_for(farewell);
-    state.waitForSubscribersToGo(stopPatience);
+    std::this_thread::sleep_for(leavingPropagationTime);
+    state.waitForSubscribersToDisconnect(disconnectTimeout);
     state.close();
     context.stop();
     timers.join();
@@ -106,7 +106,7 @@
     const auto start = Observe::startDaemon(
         argc, argv,
         "controld: follows the platform's table, exchanges state with the other instances and\n"
-        "hands snapshots to the entryd and lookupd of its own instance.");
+        "sends snapshots to the entryd and lookupd of the local instance.");
     if (!start.settings_)
         return static_cast<int>(start.exitCode_);
     return static_cast<int>(run(*start.settings_));
