--- a/Libraries/LibPeers/Codec.cpp
+++ b/Libraries/LibPeers/Codec.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 template <typename Message>
-void putShares(const std::vector<Model::DomainShare> &shares, Message &message)
+void appendShares(const std::vector<Model::DomainShare> &shares, Message &message)
 {
     for (const auto &share : shares) {
         auto *item = message.add_shares();
@@ -19,7 +19,7 @@
 }
 
 template <typename Message>
-std::vector<Model::DomainShare> takeShares(const Message &message)
+std::vector<Model::DomainShare> readShares(const Message &message)
 {
     std::vector<Model::DomainShare> shares;
     for (const auto &item : message.shares())
@@ -65,7 +65,7 @@
         item->set_origin(start.origin_.value());
         item->set_at_ms(start.at_.time_since_epoch().count());
         item->set_changed_at(start.changedAt_.value());
-        putShares(start.shares_, *item);
+        appendShares(start.shares_, *item);
     }
     return message;
 }
@@ -87,7 +87,7 @@
         start.origin_ = Model::RegionId(item.origin());
         start.at_ = Model::WallTime(Model::Milliseconds(item.at_ms()));
         start.changedAt_ = Model::TableVersion(item.changed_at());
-        start.shares_ = takeShares(item);
+        start.shares_ = readShares(item);
         delta.shiftStarts_.push_back(std::move(start));
     }
     return delta;
@@ -153,14 +153,14 @@
     cassiacrank::WalkedShares message;
     message.set_service(walked.service_.value());
     message.set_origin(walked.origin_.value());
-    putShares(walked.shares_, message);
+    appendShares(walked.shares_, message);
     return message;
 }
 
 WalkedShares fromMessage(const cassiacrank::WalkedShares &message)
 {
     return {Model::ServiceId(message.service()), Model::RegionId(message.origin()),
-            takeShares(message)};
+            readShares(message)};
 }
 
 cassiacrank::InstanceRecord toMessage(const InstanceRecord &record)
@@ -235,50 +235,52 @@
     return summary;
 }
 
-cassiacrank::CrashNews toMessage(const Policy::CrashNews &news)
+cassiacrank::CrashNews toMessage(const Policy::CrashNews &update)
 {
     cassiacrank::CrashNews message;
-    for (const auto &run : news.runs_) {
-        auto *told = message.add_runs();
-        told->set_run(run.run_.value());
-        told->set_age_ms(run.age_.count());
+    for (const auto &run : update.runs_) {
+        auto *report = message.add_runs();
+        report->set_run(run.run_.value());
+        report->set_age_ms(run.age_.count());
         for (const auto &suspect : run.suspects_) {
-            auto *item = told->add_suspects();
+            auto *item = report->add_suspects();
             item->set_request(suspect.print_.request_);
             item->set_caller(suspect.print_.caller_);
             item->set_cleared(suspect.isCleared_);
         }
     }
-    for (const auto &quarantine : news.quarantines_) {
-        auto *told = message.add_quarantines();
-        told->set_request(quarantine.print_.request_);
-        told->set_caller(quarantine.print_.caller_);
-        told->set_generation(quarantine.generation_);
-        told->set_lifted(quarantine.lifted_);
-        told->set_age_ms(quarantine.age_.count());
+    for (const auto &quarantine : update.quarantines_) {
+        auto *report = message.add_quarantines();
+        report->set_request(quarantine.print_.request_);
+        report->set_caller(quarantine.print_.caller_);
+        report->set_generation(quarantine.generation_);
+        report->set_lifted(quarantine.lifted_);
+        report->set_age_ms(quarantine.age_.count());
     }
     return message;
 }
 
 Policy::CrashNews fromMessage(const cassiacrank::CrashNews &message)
 {
-    const auto ageOf = [](const auto &told) {
-        return std::max(Model::Milliseconds(0), Model::Milliseconds(told.age_ms()));
+    const auto ageOf = [](const auto &report) {
+        return std::max(Model::Milliseconds(0), Model::Milliseconds(report.age_ms()));
     };
-    Policy::CrashNews news;
-    for (const auto &told : message.runs()) {
+    Policy::CrashNews update;
+    for (const auto &report : message.runs()) {
         Policy::ToldRun run;
-        run.run_ = Policy::RunKey(told.run());
-        run.age_ = ageOf(told);
-        for (const auto &suspect : told.suspects())
+        run.run_ = Policy::RunKey(report.run());
+        run.age_ = ageOf(report);
+        for (const auto &suspect : report.suspects())
             run.suspects_.push_back({{suspect.request(), suspect.caller()}, suspect.cleared()});
-        news.runs_.push_back(std::move(run));
+        update.runs_.push_back(std::move(run));
     }
-    for (const auto &told : message.quarantines()) {
-        news.quarantines_.push_back(
-            {{told.request(), told.caller()}, told.generation(), told.lifted(), ageOf(told)});
+    for (const auto &report : message.quarantines()) {
+        update.quarantines_.push_back({{report.request(), report.caller()},
+                                       report.generation(),
+                                       report.lifted(),
+                                       ageOf(report)});
     }
-    return news;
+    return update;
 }
 
 } // namespace Peers
--- a/Libraries/LibPeers/Codec.h
+++ b/Libraries/LibPeers/Codec.h
@@ -9,10 +9,11 @@
 
 namespace Peers {
 
-/// Between the messages on the wire and the structs that the rest of the code uses.
+/// Conversions between the protocol messages and the structs that the rest of the code uses.
 ///
-/// The readers return nothing, with SnapshotInvalid as the last reason, for a message that breaks a
-/// rule, so that a bad message is dropped whole. Thread safety: any thread.
+/// The fromMessage() overloads that return std::optional return std::nullopt, with SnapshotInvalid
+/// as the last reason, for an invalid message, so that it is dropped whole.
+/// Thread safety: any thread.
 
 cassiacrank::TableDelta toMessage(const Platform::TableDelta &delta);
 std::optional<Platform::TableDelta> fromMessage(const cassiacrank::TableDelta &message);
@@ -32,7 +33,7 @@
 cassiacrank::WalkedShares toMessage(const WalkedShares &walked);
 WalkedShares fromMessage(const cassiacrank::WalkedShares &message);
 
-cassiacrank::CrashNews toMessage(const Policy::CrashNews &news);
+cassiacrank::CrashNews toMessage(const Policy::CrashNews &update);
 Policy::CrashNews fromMessage(const cassiacrank::CrashNews &message);
 
 } // namespace Peers
--- a/Libraries/LibPeers/ControlClient.cpp
+++ b/Libraries/LibPeers/ControlClient.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr Model::Milliseconds reconnectPause{100};
+constexpr Model::Milliseconds reconnectDelay{100};
 constexpr Model::Milliseconds reportTimeout{500};
-/// The map of client blocks of a large fleet is some tens of megabytes.
-constexpr int largestMessageBytes = 128 * 1024 * 1024;
+/// The map of client blocks of a large fleet takes tens of megabytes.
+constexpr int maxMessageBytes = 128 * 1024 * 1024;
 
 std::shared_ptr<grpc::Channel> makeChannel(const Model::Address &address)
 {
@@ -23,7 +23,7 @@
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, 10000);
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, 2000);
-    arguments.SetMaxReceiveMessageSize(largestMessageBytes);
+    arguments.SetMaxReceiveMessageSize(maxMessageBytes);
     return grpc::CreateCustomChannel(Model::toText(address), grpc::InsecureChannelCredentials(),
                                      arguments);
 }
@@ -78,9 +78,9 @@
     bool wasConnected = false;
     while (true) {
         grpc::ClientContext context;
-        // A call that fails at once leaves nobody looking at the sockets, and a connection that is
-        // made between two such calls is noticed only by gRPC's own look every 5 s: the entry
-        // serves that much later. A call that waits for the connection looks all the time.
+        // After a call that fails at once, no thread polls the sockets: gRPC notices a connection
+        // made between two such calls only in its own poll every 5 s, and the entry starts to serve
+        // that much later. A call that waits for the connection polls continuously.
         context.set_wait_for_ready(true);
         {
             const std::lock_guard lock(state_->mutex_);
@@ -107,7 +107,7 @@
         if (wasConnected)
             Observe::logEvent(Observe::Event::ControlLost);
         wasConnected = false;
-        state_->changed_.wait_for(lock, reconnectPause, [this] {
+        state_->changed_.wait_for(lock, reconnectDelay, [this] {
             return state_->isStopping_;
         });
     }
--- a/Libraries/LibPeers/ControlClient.h
+++ b/Libraries/LibPeers/ControlClient.h
@@ -9,13 +9,13 @@
 
 namespace Peers {
 
-/// How entryd and lookupd follow the control process of their own instance.
+/// The client with which entryd and lookupd follow the control process of the local instance.
 ///
 /// Thread safety: start() and stop() belong to one thread; report() may be called from any.
 class ControlClient
 {
 public:
-    /// Called on the client's own thread with each snapshot.
+    /// Called with each snapshot on the thread that start() creates.
     using OnSnapshot = std::function<void(const cassiacrank::Snapshot &)>;
 
     ControlClient(Model::Address address, std::string role);
@@ -23,11 +23,11 @@
     ControlClient(const ControlClient &) = delete;
     ControlClient &operator=(const ControlClient &) = delete;
 
-    /// Follows the control process until stop(), connecting again whenever it has gone away.
+    /// Subscribes to the control process until stop(), reconnecting whenever the stream ends.
     void start(OnSnapshot onSnapshot);
     void stop();
 
-    /// Sends \a report and waits shortly. Returns whether it was taken.
+    /// Sends \a report and waits briefly for the answer. Returns whether it was accepted.
     bool report(const cassiacrank::ProcessReport &report);
 
 private:
--- a/Libraries/LibPeers/Gossip.cpp
+++ b/Libraries/LibPeers/Gossip.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 template <typename Message>
-void putMarks(const Policy::LeavingMarks &marks, Message &message)
+void appendMarks(const Policy::LeavingMarks &marks, Message &message)
 {
     for (const auto &[target, incarnation] : marks.marks_) {
         auto *mark = message.add_marks();
@@ -18,14 +18,14 @@
 }
 
 template <typename Message>
-bool takeMarks(Policy::LeavingMarks &marks, const Message &message)
+bool mergeMarks(Policy::LeavingMarks &marks, const Message &message)
 {
-    bool isNews = false;
+    bool isChanged = false;
     for (const auto &mark : message.marks()) {
-        isNews |= Policy::markLeaving(marks, Model::TargetId(mark.target()),
-                                      Model::Incarnation(mark.incarnation()));
+        isChanged |= Policy::markLeaving(marks, Model::TargetId(mark.target()),
+                                         Model::Incarnation(mark.incarnation()));
     }
-    return isNews;
+    return isChanged;
 }
 
 bool isSameRegion(const GossipState &state, const Model::RegionId &region)
@@ -33,9 +33,9 @@
     return state.self_.instance_.region_ == region;
 }
 
-/// Takes in a record of the own region; other regions are known by their summaries.
-bool takeRecord(GossipState &state, const cassiacrank::InstanceRecord &message,
-                Model::SteadyTime now)
+/// Stores a record of the local region; other regions are known through their summaries.
+bool mergeRecord(GossipState &state, const cassiacrank::InstanceRecord &message,
+                 Model::SteadyTime now)
 {
     const auto record = fromMessage(message);
     if (!record || !isSameRegion(state, record->instance_.region_))
@@ -45,34 +45,34 @@
     return takeIn(state.members_, *record, now);
 }
 
-void putNewerRecords(const GossipState &state, const cassiacrank::PullRequest &request,
-                     cassiacrank::PullAnswer &answer)
+void appendNewerRecords(const GossipState &state, const cassiacrank::PullRequest &request,
+                        cassiacrank::PullAnswer &answer)
 {
     std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> known;
     for (const auto &digest : request.records())
         known[digest.id()] = {digest.incarnation(), digest.heartbeat()};
-    const auto putIfNewer = [&](const InstanceRecord &record) {
-        const std::pair held(record.incarnation_.value(), record.heartbeat_);
+    const auto appendIfNewer = [&](const InstanceRecord &record) {
+        const std::pair current(record.incarnation_.value(), record.heartbeat_);
         const auto found = known.find(record.instance_.id_.value());
-        if (found == known.end() || found->second < held)
+        if (found == known.end() || found->second < current)
             *answer.add_records() = toMessage(record);
     };
     for (const auto &[id, member] : state.members_.members_)
-        putIfNewer(member.record_);
-    putIfNewer(state.self_);
+        appendIfNewer(member.record_);
+    appendIfNewer(state.self_);
 }
 
 Model::Milliseconds ageOf(const Members &members, const Model::RegionId &region,
                           Model::SteadyTime now)
 {
-    const auto heardAt = members.summaryHeardAt_.find(region);
-    if (heardAt == members.summaryHeardAt_.end())
+    const auto madeAtLocally = members.summaryMadeAt_.find(region);
+    if (madeAtLocally == members.summaryMadeAt_.end())
         return Model::Milliseconds(0);
-    return std::chrono::duration_cast<Model::Milliseconds>(now - heardAt->second);
+    return std::chrono::duration_cast<Model::Milliseconds>(now - madeAtLocally->second);
 }
 
-void putNewerSummaries(const GossipState &state, const cassiacrank::PullRequest &request,
-                       cassiacrank::PullAnswer &answer, Model::SteadyTime now)
+void appendNewerSummaries(const GossipState &state, const cassiacrank::PullRequest &request,
+                          cassiacrank::PullAnswer &answer, Model::SteadyTime now)
 {
     std::map<std::string, long long> known;
     for (const auto &digest : request.summaries())
@@ -104,7 +104,7 @@
     }
     if (!isSameRegion)
         return request;
-    putMarks(state.members_.marks_, request);
+    appendMarks(state.members_.marks_, request);
     for (const auto &[id, member] : state.members_.members_) {
         auto *digest = request.add_records();
         digest->set_id(id.value());
@@ -117,52 +117,52 @@
 cassiacrank::PullAnswer answerPull(GossipState &state, const cassiacrank::PullRequest &request,
                                    Model::SteadyTime now)
 {
-    takeRecord(state, request.sender(), now);
+    mergeRecord(state, request.sender(), now);
     Policy::takeIn(state.crashes_, fromMessage(request.crashes()), now);
     cassiacrank::PullAnswer answer;
     *answer.mutable_crashes() = toMessage(Policy::newsOf(state.crashes_, now));
     *answer.mutable_responder() = toMessage(state.self_.instance_);
     answer.set_responder_ready(state.self_.isReady_);
     answer.set_table_version(state.table_.version_.value());
-    const Model::TableVersion theirs(request.table_version());
-    if (Policy::mayApply(theirs, state.table_.version_))
-        *answer.mutable_delta() = toMessage(Platform::deltaSince(state.table_, theirs));
-    putNewerSummaries(state, request, answer, now);
+    const Model::TableVersion peerVersion(request.table_version());
+    if (Policy::mayApply(peerVersion, state.table_.version_))
+        *answer.mutable_delta() = toMessage(Platform::deltaSince(state.table_, peerVersion));
+    appendNewerSummaries(state, request, answer, now);
     if (!isSameRegion(state, Model::RegionId(request.sender().instance().region())))
         return answer;
-    takeMarks(state.members_.marks_, request);
-    putMarks(state.members_.marks_, answer);
-    putNewerRecords(state, request, answer);
+    mergeMarks(state.members_.marks_, request);
+    appendMarks(state.members_.marks_, answer);
+    appendNewerRecords(state, request, answer);
     return answer;
 }
 
 PullResult takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
-                      Model::SteadyTime now)
+                        Model::SteadyTime now)
 {
-    PullResult news;
-    news.responder_ = fromMessage(answer.responder());
-    news.responderIsReady_ = answer.responder_ready();
-    news.responderVersion_ = Model::TableVersion(answer.table_version());
+    PullResult result;
+    result.responder_ = fromMessage(answer.responder());
+    result.responderIsReady_ = answer.responder_ready();
+    result.responderVersion_ = Model::TableVersion(answer.table_version());
     if (answer.has_delta()) {
         const auto delta = fromMessage(answer.delta());
-        news.tableChanged_ = delta && Platform::takeIn(state.table_, *delta);
+        result.tableChanged_ = delta && Platform::takeIn(state.table_, *delta);
     }
     for (const auto &record : answer.records())
-        news.liveChanged_ |= takeRecord(state, record, now);
+        result.liveChanged_ |= mergeRecord(state, record, now);
     for (const auto &message : answer.summaries()) {
         const auto summary = fromMessage(message);
         if (!summary)
             continue;
         if (isSameRegion(state, summary->region_)) {
-            // The last word of entries that died long ago is nothing that a new one could spoil.
-            news.localRegionHasSummary_ |= summary->age_ <= summaryLifetime;
+            // An expired summary of failed entries needs no protection from a new entry's summary.
+            result.localRegionHasSummary_ |= summary->age_ <= summaryLifetime;
             continue;
         }
-        news.liveChanged_ |= takeIn(state.members_, *summary, now);
+        result.liveChanged_ |= takeIn(state.members_, *summary, now);
     }
-    news.liveChanged_ |= takeMarks(state.members_.marks_, answer);
+    result.liveChanged_ |= mergeMarks(state.members_.marks_, answer);
     Policy::takeIn(state.crashes_, fromMessage(answer.crashes()), now);
-    return news;
+    return result;
 }
 
 } // namespace Peers
--- a/Libraries/LibPeers/Gossip.h
+++ b/Libraries/LibPeers/Gossip.h
@@ -4,7 +4,7 @@
 
 namespace Peers {
 
-/// Everything that an instance's control process knows and passes on.
+/// The state that an instance's control process holds and exchanges with its peers.
 ///
 /// Thread safety: none; its owner guards it.
 struct GossipState
@@ -15,34 +15,35 @@
     Policy::CrashBook crashes_;
 };
 
-/// Returns the request that asks a peer for what \a state lacks. A peer of another region is told
-/// only of the table, the summaries and itself. Thread safety: none.
+/// Returns a request for the updates that \a state is missing. For a peer in another region it
+/// contains only the table version, the summaries, the crash records and the local record.
+/// Thread safety: none.
 cassiacrank::PullRequest makePull(const GossipState &state, bool isSameRegion,
                                   Model::SteadyTime now);
 
-/// Takes in what the request tells of its sender and returns what the sender lacks.
+/// Merges the sender's state from the request and returns the updates that the sender is missing.
 ///
 /// Thread safety: none.
 cassiacrank::PullAnswer answerPull(GossipState &state, const cassiacrank::PullRequest &request,
                                    Model::SteadyTime now);
 
-/// What an answer brought.
+/// What a peer's answer changed.
 struct PullResult
 {
     bool tableChanged_ = false;
     bool liveChanged_ = false;
-    /// The answer had a fresh summary of the asker's own region.
+    /// The answer had a fresh summary of the requester's region.
     bool localRegionHasSummary_ = false;
-    /// Who answered; nothing if the answer could not be read.
+    /// The peer that answered; std::nullopt if its record is invalid.
     std::optional<Model::Instance> responder_;
     bool responderIsReady_ = false;
     Model::TableVersion responderVersion_;
 };
 
-/// Takes in a peer's answer. A part that breaks a rule is dropped whole, the rest is kept.
+/// Merges a peer's answer. An invalid part is dropped whole, the rest is kept.
 ///
 /// Thread safety: none.
 PullResult takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
-                      Model::SteadyTime now);
+                        Model::SteadyTime now);
 
 } // namespace Peers
--- a/Libraries/LibPeers/InstanceView.cpp
+++ b/Libraries/LibPeers/InstanceView.cpp
@@ -6,14 +6,15 @@
 
 namespace {
 
-ViewChange takeTable(InstanceView &view, const cassiacrank::TableDelta &message)
+ViewChange applyTable(InstanceView &view, const cassiacrank::TableDelta &message)
 {
     ViewChange change;
-    const Model::TableVersion held = view.table_ ? view.table_->version() : Model::TableVersion(0);
+    const Model::TableVersion current
+        = view.table_ ? view.table_->version() : Model::TableVersion(0);
     auto delta = fromMessage(message);
-    if (delta && delta->version_ == held)
+    if (delta && delta->version_ == current)
         return change;
-    if (!delta || !Policy::mayApply(held, delta->version_)) {
+    if (!delta || !Policy::mayApply(current, delta->version_)) {
         change.tableRefused_ = true;
         return change;
     }
@@ -28,7 +29,7 @@
     return change;
 }
 
-void takeLive(InstanceView &view, const cassiacrank::LiveState &live)
+void applyLiveState(InstanceView &view, const cassiacrank::LiveState &live)
 {
     view.isReady_ = live.ready();
     view.isLeaving_ = live.leaving();
@@ -51,7 +52,7 @@
     }
 }
 
-void takeBlocks(InstanceView &view, const std::string &text)
+void applyClientBlocks(InstanceView &view, const std::string &text)
 {
     auto blocks = Model::ClientBlocks::build(text);
     if (!blocks) {
@@ -70,11 +71,11 @@
 {
     ViewChange change;
     if (snapshot.has_table())
-        change = takeTable(view, snapshot.table());
+        change = applyTable(view, snapshot.table());
     if (snapshot.has_client_blocks())
-        takeBlocks(view, snapshot.client_blocks());
+        applyClientBlocks(view, snapshot.client_blocks());
     if (snapshot.has_live())
-        takeLive(view, snapshot.live());
+        applyLiveState(view, snapshot.live());
     if (change.tableChanged_) {
         Observe::logEvent(Observe::Event::SnapshotApplied,
                           {{"version", std::to_string(view.table_->version().value())}});
@@ -89,15 +90,15 @@
 std::vector<Policy::EntryCandidate> entryCandidates(const InstanceView &view)
 {
     std::vector<Policy::EntryCandidate> candidates;
-    Model::RegionId ownRegion;
+    Model::RegionId localRegion;
     for (const auto &record : view.members_) {
-        ownRegion = record.instance_.region_;
+        localRegion = record.instance_.region_;
         const bool isServing = record.isReady_ && !record.isStarting_
                                && record.entryVersion_ > Model::TableVersion(0);
         candidates.push_back({record.instance_, isServing});
     }
     for (const auto &summary : view.summaries_) {
-        if (summary.region_ == ownRegion)
+        if (summary.region_ == localRegion)
             continue;
         for (const auto &contact : summary.contacts_)
             candidates.push_back({contact, true});
--- a/Libraries/LibPeers/InstanceView.h
+++ b/Libraries/LibPeers/InstanceView.h
@@ -6,21 +6,21 @@
 
 namespace Peers {
 
-/// What entryd and lookupd know through the control process of their instance.
+/// The state that entryd and lookupd receive from the control process of their instance.
 struct InstanceView
 {
     std::shared_ptr<const Model::Table> table_;
     std::shared_ptr<const Model::ClientBlocks> blocks_;
     bool isReady_ = false;
     bool isLeaving_ = false;
-    /// As in InstanceRecord, of the own instance.
+    /// As in InstanceRecord, for the local instance.
     bool isStarting_ = false;
-    /// Live instances of the own region, the own one included.
+    /// Live instances in the local region, including the local one.
     std::vector<InstanceRecord> members_;
     /// Fresh summaries of all regions.
     std::vector<RegionSummary> summaries_;
     Policy::LeavingMarks marks_;
-    /// What the control process last told of ended targets and quarantines.
+    /// The last update of crashed incarnations and quarantines from the control process.
     Policy::CrashNews crashes_;
     std::size_t fleetSize_ = 1;
 };
@@ -29,18 +29,18 @@
 struct ViewChange
 {
     bool tableChanged_ = false;
-    /// The offered table was older or invalid; the one held stays.
+    /// The received table was older or invalid; the current one stays.
     bool tableRefused_ = false;
 };
 
-/// Takes \a snapshot into \a view. A table of a lower version is refused, whoever offers it: a
-/// control process that restarted may know less than this process does.
+/// Applies \a snapshot to \a view. A table of a lower version is always refused, because a
+/// restarted control process may hold an older table than this process.
 ///
 /// Thread safety: none.
 ViewChange takeIn(InstanceView &view, const cassiacrank::Snapshot &snapshot);
 
-/// Returns how each instance's state stands for a look-up: live, ready and staying ones of the own
-/// region and the contacts of the others. Thread safety: any thread.
+/// Returns the candidates for a look-up: all live instances in the local region, each with whether
+/// it serves, and the contacts of the other regions. Thread safety: any thread.
 std::vector<Policy::EntryCandidate> entryCandidates(const InstanceView &view);
 
 } // namespace Peers
--- a/Libraries/LibPeers/LibPeers.h
+++ b/Libraries/LibPeers/LibPeers.h
@@ -1,8 +1,7 @@
 #pragma once
 
-/// LibPeers: what instances tell each other, and what the processes of one instance tell each
-/// other. This is the library's only public header; services include the generated gRPC code beside
-/// it.
+/// LibPeers: the state exchange between instances and between the processes of one instance.
+/// This is the library's only public header; services also include the generated gRPC code.
 
 #include "Codec.h"
 #include "ControlClient.h"
@@ -10,4 +9,4 @@
 #include "InstanceView.h"
 #include "Members.h"
 #include "PeerClient.h"
-#include "ShareWalks.h"
+#include "ShareRamps.h"
--- a/Libraries/LibPeers/Members.cpp
+++ b/Libraries/LibPeers/Members.cpp
@@ -12,7 +12,7 @@
     return std::make_tuple(record.incarnation_, record.heartbeat_);
 }
 
-/// The entries of a region walk alike; the first one's word on a pair is enough.
+/// The entries of a region shift their shares alike, so the first report for a pair is used.
 void addWalked(std::vector<WalkedShares> &sum, const std::vector<WalkedShares> &more)
 {
     for (const auto &walked : more) {
@@ -32,28 +32,29 @@
     Member &member = found->second;
     if (!isNew && orderOf(record) <= orderOf(member.record_))
         return false;
-    const bool isSameRun = !isNew && record.incarnation_ == member.record_.incarnation_;
-    const bool wasLeaving = isSameRun && member.record_.instance_.isLeaving_;
+    const bool isSameIncarnation = !isNew && record.incarnation_ == member.record_.incarnation_;
+    const bool wasLeaving = isSameIncarnation && member.record_.instance_.isLeaving_;
     member.record_ = record;
     member.record_.instance_.isLeaving_ = record.instance_.isLeaving_ || wasLeaving;
-    member.heardAt_ = now;
+    member.recordReceivedAt_ = now;
     return true;
 }
 
 bool takeIn(Members &members, const RegionSummary &summary, Model::SteadyTime now)
 {
-    RegionSummary &held = members.summaries_[summary.region_];
-    if (summary.madeAt_ <= held.madeAt_)
+    RegionSummary &current = members.summaries_[summary.region_];
+    if (summary.madeAt_ <= current.madeAt_)
         return false;
-    held = summary;
-    members.summaryHeardAt_[summary.region_] = now - summary.age_;
+    current = summary;
+    members.summaryMadeAt_[summary.region_] = now - summary.age_;
     return true;
 }
 
 bool isFresh(const Members &members, const Model::RegionId &region, Model::SteadyTime now)
 {
-    const auto heardAt = members.summaryHeardAt_.find(region);
-    return heardAt != members.summaryHeardAt_.end() && now - heardAt->second <= summaryLifetime;
+    const auto madeAtLocally = members.summaryMadeAt_.find(region);
+    return madeAtLocally != members.summaryMadeAt_.end()
+           && now - madeAtLocally->second <= summaryLifetime;
 }
 
 bool isKnown(const Members &members, const Model::RegionId &region, Model::SteadyTime now)
@@ -64,16 +65,16 @@
     return !summary->second.contacts_.empty() || !isFresh(members, region, now);
 }
 
-void forgetSilent(Members &members, Model::Milliseconds silence, Model::SteadyTime now)
+void removeSilentMembers(Members &members, Model::Milliseconds maxSilence, Model::SteadyTime now)
 {
     std::erase_if(members.members_, [&](const auto &entry) {
-        return now - entry.second.heardAt_ > silence;
+        return now - entry.second.recordReceivedAt_ > maxSilence;
     });
 }
 
 bool isAlive(const Member &member, Model::SteadyTime now)
 {
-    return now - member.heardAt_ <= memberLifetime;
+    return now - member.recordReceivedAt_ <= memberLifetime;
 }
 
 RegionSummary summarise(const Members &members, const Model::RegionId &region,
@@ -96,7 +97,7 @@
             DomainLoad &total = loads[{load.service_, load.domain_}];
             total.service_ = load.service_;
             total.domain_ = load.domain_;
-            // Every entry sees the same slots, but each has its own requests in them.
+            // Every entry sees the same slots, but only its own requests in them.
             total.slots_ = std::max(total.slots_, load.slots_);
             total.inFlight_ += load.inFlight_;
             total.waiting_ += load.waiting_;
@@ -108,8 +109,8 @@
         if (member.record_.instance_.region_ == region && isAlive(member, now))
             addWalked(summary.walked_, member.record_.walked_);
     }
-    // While the last entries leave and their replacements have not been heard of yet, naming nobody
-    // would send the region's callers to other regions. Entries that leave serve on for a while.
+    // While the last entries leave and no record of their replacements has arrived, an empty list
+    // would send the region's callers to other regions. Leaving entries still serve for a while.
     if (summary.contacts_.empty())
         summary.contacts_ = std::move(leaving);
     return summary;
--- a/Libraries/LibPeers/Members.h
+++ b/Libraries/LibPeers/Members.h
@@ -10,12 +10,12 @@
 
 namespace Peers {
 
-/// What one entry, or all entries of a region together, see of a service in a failure domain.
+/// The load of a service in a failure domain, as seen by one entry or by all entries of a region.
 struct DomainLoad
 {
     Model::ServiceId service_;
     Model::FailureDomainId domain_;
-    /// Slots of the targets that take work.
+    /// Slots of the targets that accept requests.
     Model::Slots slots_;
     Model::Slots inFlight_;
     std::int64_t waiting_ = 0;
@@ -23,8 +23,8 @@
     bool operator==(const DomainLoad &) const = default;
 };
 
-/// Shares of an entry that stand elsewhere than planned because failure domains went out or came
-/// back; an entry that starts afresh takes them over and so does not jump.
+/// Current shares of an entry that deviate from the plan because failure domains failed or
+/// recovered. A newly started entry adopts them, so that its traffic does not jump.
 struct WalkedShares
 {
     Model::ServiceId service_;
@@ -34,7 +34,7 @@
     bool operator==(const WalkedShares &) const = default;
 };
 
-/// What an instance says of itself. The pair of incarnation and heartbeat orders the records.
+/// The record that an instance publishes. Records are ordered by incarnation, then heartbeat.
 struct InstanceRecord
 {
     Model::Instance instance_;
@@ -44,76 +44,79 @@
     Model::TableVersion controlVersion_;
     Model::TableVersion entryVersion_;
     Model::TableVersion lookupVersion_;
-    /// Does not know yet where every other region stands; no caller is sent to it.
+    /// The state of some other region is still unknown; no caller is sent to this instance.
     bool isStarting_ = false;
     std::vector<DomainLoad> loads_;
     std::vector<WalkedShares> walked_;
 };
 
-/// What other regions need to know of a region: its load and whom to hand requests over to.
+/// What other regions need to know of a region: its load and the entries to forward requests to.
 struct RegionSummary
 {
     Model::RegionId region_;
     Model::WallTime madeAt_;
     std::vector<DomainLoad> loads_;
     std::vector<Model::Instance> contacts_;
-    /// Where traffic stands elsewhere than planned, by the region's entries; one for each pair of
-    /// service and origin. Empty unless failure domains are out or have just come back.
+    /// Current shares that deviate from the plan, as reported by the region's entries; one for each
+    /// pair of service and origin. Empty unless failure domains are out or have just recovered.
     std::vector<WalkedShares> walked_;
-    /// How old it was when it was sent here.
+    /// The age of the summary when the peer sent it.
     Model::Milliseconds age_{0};
 };
 
 struct Member
 {
     InstanceRecord record_;
-    /// When the record last became newer, by the own clock.
-    Model::SteadyTime heardAt_;
+    /// When a newer record was last received, by the local clock.
+    Model::SteadyTime recordReceivedAt_;
 };
 
-/// The instances of the own region, by what they said of themselves, and summaries of the others.
+/// The records of the instances in the local region and the summaries of the other regions.
 ///
-/// What an instance keeps and sends so grows with its region, not with the fleet.
+/// The state that an instance keeps and sends therefore grows with its region, not with the fleet.
 /// Thread safety: none.
 struct Members
 {
     std::map<Model::InstanceId, Member> members_;
     std::map<Model::RegionId, RegionSummary> summaries_;
-    /// When a summary last became newer, by the own clock.
-    std::map<Model::RegionId, Model::SteadyTime> summaryHeardAt_;
+    /// When the current summary was made, estimated by the local clock.
+    std::map<Model::RegionId, Model::SteadyTime> summaryMadeAt_;
     Policy::LeavingMarks marks_;
 };
 
-/// After this long without a newer record a member counts as dead.
+/// A member without a newer record for this duration is considered failed.
 constexpr Model::Milliseconds memberLifetime{3000};
-/// After this long a summary says nothing about capacity any more.
+/// A summary older than this is no longer used as evidence of capacity.
 constexpr Model::Milliseconds summaryLifetime{5000};
-/// Entries that a summary names.
+/// Limit of the entries that a summary lists.
 constexpr std::size_t mostContacts = 8;
 
-/// Takes in \a record if it is newer than what is held. Returns whether it was.
+/// Stores \a record if it is newer than the known one. Returns whether it was.
 ///
-/// An instance that said it is leaving stays so for that incarnation. Thread safety: none.
+/// An instance that announced that it is leaving stays leaving for that incarnation.
+/// Thread safety: none.
 bool takeIn(Members &members, const InstanceRecord &record, Model::SteadyTime now);
 
-/// Takes in \a summary if it is newer than what is held. Returns whether it was.
+/// Stores \a summary if it is newer than the known one. Returns whether it was.
 bool takeIn(Members &members, const RegionSummary &summary, Model::SteadyTime now);
 
-/// Forgets members that have been silent for \a silence; dead ones are kept that long so that an
-/// old record that still goes round is not taken for a new instance. Thread safety: none.
-void forgetSilent(Members &members, Model::Milliseconds silence, Model::SteadyTime now);
+/// Removes members without a newer record for longer than \a maxSilence. Failed members are kept
+/// until then, so that an old record that still spreads is not mistaken for a new instance. Thread
+/// safety: none.
+void removeSilentMembers(Members &members, Model::Milliseconds maxSilence, Model::SteadyTime now);
 
-/// Tells whether the region's last summary is young enough to say anything about capacity.
+/// Returns whether the region's last summary is recent enough to be evidence of capacity.
 bool isFresh(const Members &members, const Model::RegionId &region, Model::SteadyTime now);
 
-/// Tells whether it is known where \a region stands: entries that serve there, or that it has been
-/// silent for too long. A region that has just been started and names no entry yet is not known.
+/// Returns whether the state of \a region is known: its summary lists serving entries, or is
+/// expired. A newly started region that lists no entry yet is unknown.
 bool isKnown(const Members &members, const Model::RegionId &region, Model::SteadyTime now);
 
-/// Tells whether \a member was heard of lately. Thread safety: any thread.
+/// Returns whether a newer record of \a member was received within memberLifetime.
+/// Thread safety: any thread.
 bool isAlive(const Member &member, Model::SteadyTime now);
 
-/// Returns the summary of \a region as its live members make it. Thread safety: none.
+/// Returns the summary of \a region, computed from its live members. Thread safety: none.
 RegionSummary summarise(const Members &members, const Model::RegionId &region,
                         Model::WallTime madeAt, Model::SteadyTime now);
 
--- a/Libraries/LibPeers/PeerClient.cpp
+++ b/Libraries/LibPeers/PeerClient.cpp
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr int reconnectMilliseconds = 500;
+constexpr int maxReconnectBackoffMs = 500;
 
 std::unique_ptr<cassiacrank::Peers::Stub> makeStub(const Model::Address &address)
 {
     grpc::ChannelArguments arguments;
-    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, reconnectMilliseconds);
-    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, reconnectMilliseconds / 5);
-    // Without a pool of its own a new channel takes up the old connection again, which may be the
-    // very one that fell silent.
+    arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, maxReconnectBackoffMs);
+    arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, maxReconnectBackoffMs / 5);
+    // Without a subchannel pool of its own, a new channel reuses the old connection, which may be
+    // the unresponsive one.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     const auto channel = grpc::CreateCustomChannel(Model::toText(address),
@@ -35,8 +35,8 @@
     Model::SteadyTime finishedAt_;
 };
 
-/// gRPC still uses a call for a moment after it has reported the result, and destroying the call or
-/// its channel on the reporting thread ends in a failed assertion of gRPC.
+/// gRPC uses a call for a short time after its completion callback, and destroying the call or its
+/// channel on the callback's thread fails an assertion in gRPC.
 constexpr Model::Milliseconds finishedCallLifetime{1000};
 
 } // namespace
@@ -88,10 +88,10 @@
     {
         const std::lock_guard lock(state_->mutex_);
         dropFinished(state_->finished_);
-        auto &kept = state_->stubs_[address];
-        if (!kept)
-            kept = makeStub(address);
-        call->stub_ = kept;
+        auto &stub = state_->stubs_[address];
+        if (!stub)
+            stub = makeStub(address);
+        call->stub_ = stub;
         state_->calls_[call] = std::move(owned);
     }
     state_->sent_ += request.ByteSizeLong();
@@ -102,8 +102,8 @@
                   state->received_ += call->answer_.ByteSizeLong();
               done(status.ok() ? &call->answer_ : nullptr);
               const std::lock_guard lock(state->mutex_);
-              // A connection that went silent for good looks like a slow peer. Only a new
-              // connection tells the two apart, so this one is not used again.
+              // A permanently unresponsive connection looks like a slow peer. Only a new
+              // connection distinguishes the two, so this one is not reused.
               if (!status.ok() && state->stubs_[address] == call->stub_)
                   state->stubs_.erase(address);
               call->finishedAt_ = std::chrono::steady_clock::now();
--- a/Libraries/LibPeers/PeerClient.h
+++ b/Libraries/LibPeers/PeerClient.h
@@ -9,26 +9,26 @@
 
 namespace Peers {
 
-/// Asks other instances' control processes. Keeps one connection to each peer asked lately.
+/// Sends pull requests to the control processes of other instances, over one connection per peer.
 ///
 /// Thread safety: any thread.
 class PeerClient
 {
 public:
-    /// Called on a thread of gRPC with the answer, or with nothing if none came in time.
+    /// Called on a gRPC thread with the answer, or with nullptr if the call failed or timed out.
     using Done = std::function<void(const cassiacrank::PullAnswer *)>;
 
     PeerClient();
-    /// Gives up all calls in progress and waits until each has been reported.
+    /// Cancels all calls in progress and waits until each has completed.
     ~PeerClient();
     PeerClient(const PeerClient &) = delete;
     PeerClient &operator=(const PeerClient &) = delete;
 
-    /// Sends \a request to \a address without waiting.
+    /// Sends \a request to \a address without blocking.
     void pull(const Model::Address &address, const cassiacrank::PullRequest &request,
               Model::Milliseconds timeout, Done done);
 
-    /// Bytes sent and received, for the readout.
+    /// Message bytes sent and received, for the metrics.
     std::uint64_t bytesSent() const;
     std::uint64_t bytesReceived() const;
 
--- a/Libraries/LibPeers/ShareWalks.cpp
+++ b/Libraries/LibPeers/ShareRamps.cpp
@@ -1,4 +1,4 @@
-#include "ShareWalks.h"
+#include "ShareRamps.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace {
 
 /// A longer time between two steps means that the process was paused.
-constexpr Model::Milliseconds longestStep{1000};
+constexpr Model::Milliseconds maxStepDuration{1000};
 
 std::vector<Model::FailureDomainId> domainIds(const Model::Table &table)
 {
@@ -25,8 +25,8 @@
     return found == all.end() ? nullptr : &*found;
 }
 
-const WalkedShares *walkOfOthers(const InstanceView &view, const Model::Instance &own,
-                                 const ShareWalks::Key &key)
+const WalkedShares *peerReportedShares(const InstanceView &view, const Model::Instance &own,
+                                       const ShareWalks::Key &key)
 {
     for (const auto &member : view.members_) {
         const auto *walked = findIn(member.walked_, key);
@@ -41,52 +41,52 @@
     return nullptr;
 }
 
-/// The rows of the table may have moved; the shares stay with their names.
-Policy::ShareVector sharesUnder(const Model::Table &table, const ShareWalk &walk)
+/// The indexes of the domains may differ between table versions, so shares are mapped by id.
+Policy::ShareVector remappedShares(const Model::Table &table, const ShareWalk &ramp)
 {
     std::vector<Model::DomainShare> named;
-    for (std::size_t i = 0; i < walk.domains_.size(); ++i)
-        named.push_back({walk.domains_[i], Model::Share(walk.shares_.shares_[i])});
+    for (std::size_t i = 0; i < ramp.domains_.size(); ++i)
+        named.push_back({ramp.domains_[i], Model::Share(ramp.shares_.shares_[i])});
     return Policy::indexedShares(table, named);
 }
 
 } // namespace
 
-Model::Milliseconds beginStep(ShareWalks &walks, bool isStarting, Model::SteadyTime now)
+Model::Milliseconds beginStep(ShareWalks &ramps, bool isStarting, Model::SteadyTime now)
 {
-    const bool isFirst = walks.steppedAt_ == Model::SteadyTime();
+    const bool isFirst = ramps.steppedAt_ == Model::SteadyTime();
     auto elapsed = isFirst
                        ? Model::Milliseconds(0)
-                       : std::chrono::duration_cast<Model::Milliseconds>(now - walks.steppedAt_);
-    // A process that was paused must not make up for the pause in one jump, nor stay behind the
-    // plan by the length of the pause: it begins as a fresh one would.
-    if (isFirst || elapsed > longestStep || isStarting || walks.wasStarting_) {
-        walks.walks_.clear();
+                       : std::chrono::duration_cast<Model::Milliseconds>(now - ramps.steppedAt_);
+    // A process that was paused must neither make up for the pause in one jump nor lag the plan by
+    // the length of the pause, so it restarts its ramps like a new process.
+    if (isFirst || elapsed > maxStepDuration || isStarting || ramps.wasStarting_) {
+        ramps.walks_.clear();
         elapsed = Model::Milliseconds(0);
-        walks.steppedAt_ = now;
+        ramps.steppedAt_ = now;
     }
-    walks.wasStarting_ = isStarting;
-    walks.steppedAt_ += elapsed;
+    ramps.wasStarting_ = isStarting;
+    ramps.steppedAt_ += elapsed;
     return elapsed;
 }
 
-ShareWalk &walkFor(ShareWalks &walks, const InstanceView &view, const Model::Instance &own,
+ShareWalk &walkFor(ShareWalks &ramps, const InstanceView &view, const Model::Instance &own,
                    const ShareWalks::Key &key, const Policy::ShareVector &planned)
 {
     const Model::Table &table = *view.table_;
-    const auto [found, isNew] = walks.walks_.try_emplace(key);
-    ShareWalk &walk = found->second;
-    if (!isNew && walk.version_ == table.version())
-        return walk;
+    const auto [found, isNew] = ramps.walks_.try_emplace(key);
+    ShareWalk &ramp = found->second;
+    if (!isNew && ramp.version_ == table.version())
+        return ramp;
     if (isNew) {
-        const auto *walked = walkOfOthers(view, own, key);
-        walk.shares_ = walked ? Policy::indexedShares(table, walked->shares_) : planned;
+        const auto *walked = peerReportedShares(view, own, key);
+        ramp.shares_ = walked ? Policy::indexedShares(table, walked->shares_) : planned;
     } else {
-        walk.shares_ = sharesUnder(table, walk);
+        ramp.shares_ = remappedShares(table, ramp);
     }
-    walk.version_ = table.version();
-    walk.domains_ = domainIds(table);
-    return walk;
+    ramp.version_ = table.version();
+    ramp.domains_ = domainIds(table);
+    return ramp;
 }
 
 } // namespace Peers
--- a/Libraries/LibPlatform/ClaimBatcher.cpp
+++ b/Libraries/LibPlatform/ClaimBatcher.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr std::size_t mostInOneWrite = 200;
-constexpr int settleTries = 60;
-constexpr Milliseconds settlePause{500};
+constexpr std::size_t maxWritesPerCommit = 200;
+constexpr int maxSettleAttempts = 60;
+constexpr Milliseconds settleRetryDelay{500};
 
 } // namespace
 
-/// One write that waits for its batch.
+/// A write that is queued for a batch.
 struct ClaimBatcher::Operation
 {
     Operation(Http::asio::io_context &context, std::string key, Revision condition,
@@ -67,19 +67,19 @@
             co_await Http::sleepUntil(next);
         }
         std::vector<std::shared_ptr<Operation>> batch;
-        std::list<std::shared_ptr<Operation>> later;
+        std::list<std::shared_ptr<Operation>> deferred;
         for (auto &operation : queue_) {
-            // Two writes of one key in one commit would hide each other's conflict.
+            // Two writes of one key in the same commit would mask each other's conflict.
             const bool isRepeated = std::any_of(batch.begin(), batch.end(), [&](const auto &other) {
                 return other->key_ == operation->key_;
             });
-            if (isRepeated || batch.size() >= mostInOneWrite) {
-                later.push_back(operation);
+            if (isRepeated || batch.size() >= maxWritesPerCommit) {
+                deferred.push_back(operation);
             } else {
                 batch.push_back(operation);
             }
         }
-        queue_ = std::move(later);
+        queue_ = std::move(deferred);
         lastWrite_ = std::chrono::steady_clock::now();
         co_await flush(std::move(batch));
     }
@@ -106,29 +106,29 @@
         }
         const auto &conflicts = answer->conflicts_;
         const bool isWritten = conflicts.empty();
-        std::vector<std::shared_ptr<Operation>> again;
+        std::vector<std::shared_ptr<Operation>> remaining;
         for (const auto &operation : batch) {
             const bool hasConflict
                 = std::count(conflicts.begin(), conflicts.end(), operation->key_) > 0;
             if (!isWritten && !hasConflict) {
-                again.push_back(operation);
+                remaining.push_back(operation);
                 continue;
             }
             operation->state_ = isWritten ? State::Written : State::Conflict;
             operation->revision_ = answer->revision_;
             operation->done_.cancel();
         }
-        batch = std::move(again);
+        batch = std::move(remaining);
     }
 }
 
-Task<ClaimResult> ClaimBatcher::judge(std::string key, const Policy::Claim &claim)
+Task<ClaimResult> ClaimBatcher::readClaim(std::string key, const Policy::Claim &claim)
 {
     ClaimResult result;
     const auto rows = co_await readRows(store_, key, Revision(0));
     if (!rows)
         co_return result;
-    // An absent row can be claimed anew, like a released one, on condition that it stays absent.
+    // An absent row can be claimed like a released one, on condition that it is still absent.
     result.verdict_ = Policy::ClaimVerdict::TakeOver;
     for (const auto &row : rows->rows_) {
         if (row.key_ != key || !row.value_)
@@ -163,16 +163,16 @@
         mayBeHeld = mayBeHeld || operation->state_ == Operation::State::Unknown;
         if (operation->state_ == Operation::State::Unwritten)
             break;
-        result = co_await judge(key, claim);
+        result = co_await readClaim(key, claim);
         if (!result.verdict_)
             break;
         if (*result.verdict_ != Policy::ClaimVerdict::TakeOver)
             co_return result;
         condition = result.revision_;
     }
-    // The request will be refused as not run, which is true: only this attempt could run it. But
-    // the claim may have taken effect, and then the caller's repeat would be told "unknown" for
-    // good.
+    // The request is refused as not run, which is correct: only this attempt could run it. But the
+    // claim may have been written, and the caller's repeated request would then be answered
+    // "unknown" permanently, so the claim is released.
     if (mayBeHeld) {
         claim.state_ = Policy::ClaimState::Released;
         Http::asio::co_spawn(store_.pool_->context(), settle(key, claim, Revision(0)),
@@ -181,26 +181,27 @@
     co_return ClaimResult();
 }
 
-Task<void> ClaimBatcher::settle(std::string key, Policy::Claim claim, Revision held)
+Task<void> ClaimBatcher::settle(std::string key, Policy::Claim claim, Revision claimRevision)
 {
     const std::string value = Policy::toText(claim);
-    for (int attempt = 0; attempt < settleTries; ++attempt) {
-        if (held == Revision(0)) {
-            // Whether and under which revision the claim stands must be read first.
-            const ClaimResult found = co_await judge(key, claim);
-            const bool isOwn = found.verdict_ == Policy::ClaimVerdict::Proceed;
-            if (found.verdict_ && !isOwn)
+    for (int attempt = 0; attempt < maxSettleAttempts; ++attempt) {
+        if (claimRevision == Revision(0)) {
+            // The revision of the claim, if it is stored at all, must be read first.
+            const ClaimResult found = co_await readClaim(key, claim);
+            const bool isOwnClaim = found.verdict_ == Policy::ClaimVerdict::Proceed;
+            if (found.verdict_ && !isOwnClaim)
                 co_return;
-            held = isOwn ? found.revision_ : Revision(0);
+            claimRevision = isOwnClaim ? found.revision_ : Revision(0);
         }
-        if (held != Revision(0)) {
-            auto operation = std::make_shared<Operation>(store_.pool_->context(), key, held, value);
+        if (claimRevision != Revision(0)) {
+            auto operation
+                = std::make_shared<Operation>(store_.pool_->context(), key, claimRevision, value);
             if (co_await submit(operation))
                 co_return;
             if (operation->state_ != Operation::State::Unwritten)
-                held = Revision(0);
+                claimRevision = Revision(0);
         }
-        co_await Http::sleepFor(settlePause);
+        co_await Http::sleepFor(settleRetryDelay);
     }
     Observe::logEvent(Observe::Event::ClaimUnsettled, {{"key", key}});
 }
--- a/Libraries/LibPlatform/ClaimBatcher.h
+++ b/Libraries/LibPlatform/ClaimBatcher.h
@@ -10,36 +10,38 @@
 
 namespace Platform {
 
-/// What came of claiming an idempotency key.
+/// The result of claiming an idempotency key.
 struct ClaimResult
 {
-    /// Nothing where the store could not be asked; the request must then not run.
+    /// std::nullopt if the store was not reachable; the request must then not run.
     std::optional<Policy::ClaimVerdict> verdict_;
-    /// The claim as it stands, for a replay.
+    /// The stored claim, for a replay.
     Policy::Claim claim_;
-    /// Goes into the condition of the write that settles the claim.
+    /// The condition of the write that settles the claim.
     Revision revision_;
 };
 
-/// Claims idempotency keys in the platform's store, those of many requests in one write.
+/// Claims idempotency keys in the platform's store and batches the claims of many requests.
 ///
-/// What goes wrong without batches: each keyed request costs a write or two, and the store's few
-/// hundred writes a second, which all users share, are gone at a fraction of today's load.
+/// Without batches, each keyed request costs one or two writes and exhausts the store's limit of a
+/// few hundred writes per second, which all its users share, at a fraction of the usual load.
 /// Thread safety: every method runs on the io_context of the store's pool.
 class ClaimBatcher
 {
 public:
     explicit ClaimBatcher(Store &store);
 
-    /// Sets the shortest time between two writes. A claim that comes after a rest goes at once.
+    /// Sets the minimum time between two writes. A claim after a longer idle time is written at
+    /// once.
     void setInterval(Model::Milliseconds interval) { interval_ = interval; }
 
-    /// Claims \a key for \a claim before \a deadline.
+    /// Writes \a claim under \a key before \a deadline, unless a valid claim exists.
     Http::Task<ClaimResult> claim(std::string key, Policy::Claim claim, Model::SteadyTime deadline);
 
-    /// Records what became of a claim that this process holds; tries for a while if the store is
-    /// down, and gives up with event ClaimUnsettled. Until it is written, repeats are told unknown.
-    Http::Task<void> settle(std::string key, Policy::Claim claim, Revision held);
+    /// Writes the final state of a claim that this process holds. Retries a limited number of times
+    /// while the store is down, then logs ClaimUnsettled. Until the write succeeds, repeated
+    /// requests are answered with an unknown outcome.
+    Http::Task<void> settle(std::string key, Policy::Claim claim, Revision claimRevision);
 
 private:
     struct Operation;
@@ -47,7 +49,7 @@
     Http::Task<bool> submit(std::shared_ptr<Operation> operation);
     Http::Task<void> flushLoop();
     Http::Task<void> flush(std::vector<std::shared_ptr<Operation>> batch);
-    Http::Task<ClaimResult> judge(std::string key, const Policy::Claim &claim);
+    Http::Task<ClaimResult> readClaim(std::string key, const Policy::Claim &claim);
 
     Store &store_;
     std::list<std::shared_ptr<Operation>> queue_;
--- a/Libraries/LibPlatform/Edits.cpp
+++ b/Libraries/LibPlatform/Edits.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-/// Tries of one edit: conflicts on other rows and lost confirmations are tried again.
-constexpr int mostTries = 8;
+/// Attempts per edit: conflicts on other rows and lost confirmations are retried.
+constexpr int maxAttempts = 8;
 
 std::string auditKey(Model::TableVersion version)
 {
@@ -38,12 +38,12 @@
     if (!edit.base_)
         return false;
     return std::any_of(edit.rows_.begin(), edit.rows_.end(), [&](const RowEdit &row) {
-        const auto held = mirror.rows_.find(row.row_);
-        return held != mirror.rows_.end() && held->second.changedAt_ > *edit.base_;
+        const auto current = mirror.rows_.find(row.row_);
+        return current != mirror.rows_.end() && current->second.changedAt_ > *edit.base_;
     });
 }
 
-/// The transaction of one try, and what it would lead to.
+/// The transaction of one attempt, and the version that it creates.
 struct PreparedEdit
 {
     Commit commit_;
@@ -53,7 +53,7 @@
 std::optional<PreparedEdit> prepare(const TableMirror &mirror, const Edit &edit)
 {
     if (isConflicting(mirror, edit))
-        return Model::fail(ResultCode::EditConflict, "a row changed since the version looked at");
+        return Model::fail(ResultCode::EditConflict, "a row changed since the edit's base version");
     auto rows = rowsAfter(mirror, edit);
     if (!rows)
         return std::nullopt;
@@ -91,8 +91,8 @@
     return prepared;
 }
 
-/// Returns the version under which the edit was accepted, zero if it was not, nothing if the store
-/// cannot tell.
+/// Returns the version under which the edit was accepted, zero if it was not, std::nullopt if the
+/// store could not be read.
 Task<std::optional<Model::TableVersion>> acceptedVersion(Store &store, Model::EditId id)
 {
     const std::string key = editKey(id);
@@ -119,8 +119,8 @@
 {
     auto rows = mirror.rows_;
     for (const auto &rowEdit : edit.rows_) {
-        const auto held = rows.find(rowEdit.row_);
-        const bool exists = held != rows.end() && !held->second.deleted_;
+        const auto current = rows.find(rowEdit.row_);
+        const bool exists = current != rows.end() && !current->second.deleted_;
         if (rowEdit.removesRow_ && !exists)
             return Model::fail(ResultCode::UnknownRow, "row '" + toText(rowEdit.row_) + "'");
         Model::Row &row = rows[rowEdit.row_];
@@ -156,9 +156,9 @@
 Task<std::optional<Model::TableVersion>> commitEdit(Store &store, const Edit &edit)
 {
     bool mayHaveTakenEffect = false;
-    for (int attempt = 0; attempt < mostTries; ++attempt) {
-        // A confirmation can be lost while the write took effect. The edit's own row, written in
-        // the same transaction, tells; without it a repeated edit would be applied twice.
+    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
+        // A confirmation can be lost although the write took effect. The edit's own row, written
+        // in the same transaction, shows this; without it a retried edit would be applied twice.
         const auto accepted = co_await acceptedVersion(store, edit.id_);
         if (accepted && *accepted > Model::TableVersion(0))
             co_return *accepted;
@@ -189,7 +189,7 @@
     }
     if (mayHaveTakenEffect)
         co_return Model::fail(ResultCode::EditOutcomeUnknown, "edit id " + edit.id_.value());
-    co_return Model::fail(ResultCode::EditConflict, "too many other edits");
+    co_return Model::fail(ResultCode::EditConflict, "too many concurrent edits");
 }
 
 Task<std::optional<std::vector<Observe::AuditRecord>>> readHistory(Store &store)
--- a/Libraries/LibPlatform/Edits.h
+++ b/Libraries/LibPlatform/Edits.h
@@ -10,40 +10,40 @@
 
 namespace Platform {
 
-/// What an operator wants of one row.
+/// A change to one row that an operator requests.
 struct RowEdit
 {
     Model::RowKey row_;
-    /// Cells to set; nothing takes the cell out, so that its default holds.
+    /// Cells to set; std::nullopt removes the cell, so that its default applies.
     std::map<std::string, std::optional<std::string>> cells_;
     bool removesRow_ = false;
 };
 
-/// One edit: all of its rows change together or none does.
+/// An edit, applied atomically: all of its rows change or none does.
 struct Edit
 {
-    /// Chosen once for an edit and kept when it is repeated: settles a lost confirmation.
+    /// Chosen once per edit and kept when it is retried; identifies it after a lost confirmation.
     Model::EditId id_;
     std::string operator_;
     Model::WallTime at_;
     std::vector<RowEdit> rows_;
-    /// The version that the operator looked at. A row of the edit that changed since is a conflict.
+    /// The version that the operator saw. A row of the edit that changed since then is a conflict.
     std::optional<Model::TableVersion> base_;
 };
 
-/// Returns the rows of \a mirror as they would be after \a edit.
+/// Returns the rows of \a mirror with \a edit applied.
 ///
-/// Returns nothing with UnknownRow as the last reason if a row to be removed is not there.
+/// Returns std::nullopt with UnknownRow as the last reason if a row to be removed does not exist.
 /// Thread safety: none.
 std::optional<std::vector<Model::Row>> rowsAfter(const TableMirror &mirror, const Edit &edit);
 
-/// Commits \a edit with its audit record and the starts of the shifts that it causes, in one
+/// Commits \a edit, its audit record and the starts of the shifts that it causes in one
 /// transaction, and returns the new version.
 ///
 /// An edit whose id was accepted before is not applied again; its version is returned. Returns
-/// nothing, and nothing was applied, with the code of the first wrong cell, EditConflict or an
-/// error of the platform; only EditOutcomeUnknown leaves it open, and then the same edit may be
-/// repeated. Thread safety: as Store.
+/// std::nullopt with the code of the first invalid cell, EditConflict or an error of the platform
+/// if nothing was applied. After EditOutcomeUnknown the edit may or may not have been applied, and
+/// the same edit may be retried. Thread safety: as Store.
 Http::Task<std::optional<Model::TableVersion>> commitEdit(Store &store, const Edit &edit);
 
 /// Reads the whole table from the store. Errors as for readRows(). Thread safety: as Store.
--- a/Libraries/LibPlatform/LibPlatform.h
+++ b/Libraries/LibPlatform/LibPlatform.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// LibPlatform: the client side of the platform's table service, object store and instance list,
-/// and what cassiacrank keeps there: the table, its audit trail and the claims.
+/// LibPlatform: the client of the platform's table service, object store and instance list, and the
+/// data that cassiacrank stores there: the table, its audit trail and the claims.
 /// This is the library's only public header.
 
 #include "ClaimBatcher.h"
--- a/Libraries/LibPlatform/Store.cpp
+++ b/Libraries/LibPlatform/Store.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sends a read, once more on a new connection if a kept one failed: reads may be repeated.
+/// Sends a read, retried on a new connection if a pooled one failed: reads are idempotent.
 Task<std::optional<json>> readJson(Store &store, std::string target)
 {
     ++store.reads_;
@@ -119,7 +119,8 @@
         commitAnswer.conflicts_ = answer["conflicts"].get<std::vector<std::string>>();
         co_return std::optional<CommitAnswer>(std::move(commitAnswer));
     }
-    // The platform says 503 only before it begins; any other answer leaves the outcome open.
+    // The platform answers 503 only before it begins a commit; with any other answer the outcome is
+    // unknown.
     if (status == Http::http::status::service_unavailable)
         co_return Model::fail(ResultCode::PlatformError, "commit: 503");
     co_return Model::fail(ResultCode::CommitOutcomeUnknown,
--- a/Libraries/LibPlatform/StoreCall.cpp
+++ b/Libraries/LibPlatform/StoreCall.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-constexpr std::size_t connectionsToStore = 4;
+constexpr std::size_t storeConnectionLimit = 4;
 constexpr const char *hexDigits = "0123456789ABCDEF";
-/// A connection that rested longer may have been forgotten by something on the way.
-constexpr Model::Milliseconds longestRest{2000};
+/// Intermediaries may have dropped a connection that was idle for longer.
+constexpr Model::Milliseconds maxIdleTime{2000};
 
 } // namespace
 
 Task<Http::ExchangeResult> call(Store &store, Http::http::verb method, std::string target,
-                                std::string body, Model::Milliseconds patience,
+                                std::string body, Model::Milliseconds timeout,
                                 Http::ExchangeControl *control)
 {
     Http::Request request(method, target, 11);
@@ -22,13 +22,13 @@
     request.body() = std::move(body);
     request.prepare_payload();
 
-    const auto limit = patience.count() > 0 ? patience : store.timeout_;
+    const auto limit = timeout.count() > 0 ? timeout : store.timeout_;
     Http::ExchangeOptions options;
     options.address_ = store.address_;
     options.connectTimeout_ = store.timeout_;
     options.deadline_ = std::chrono::steady_clock::now() + limit;
-    options.longestIdle_ = longestRest;
-    options.connectionLimit_ = connectionsToStore;
+    options.longestIdle_ = maxIdleTime;
+    options.connectionLimit_ = storeConnectionLimit;
     options.control_ = control;
     co_return co_await Http::exchange(*store.pool_, options, request, Http::anyAnswer);
 }
--- a/Libraries/LibPlatform/TableMirror.cpp
+++ b/Libraries/LibPlatform/TableMirror.cpp
@@ -49,18 +49,18 @@
     }
 }
 
-void put(TableMirror &mirror, const Model::Row &row)
+void putIfNewer(TableMirror &mirror, const Model::Row &row)
 {
-    Model::Row &held = mirror.rows_[row.key_];
-    if (row.changedAt_ >= held.changedAt_)
-        held = row;
+    Model::Row &current = mirror.rows_[row.key_];
+    if (row.changedAt_ >= current.changedAt_)
+        current = row;
 }
 
-void put(TableMirror &mirror, const Model::ShiftStart &start)
+void putIfNewer(TableMirror &mirror, const Model::ShiftStart &start)
 {
-    Model::ShiftStart &held = mirror.shiftStarts_[{start.service_, start.origin_}];
-    if (start.changedAt_ >= held.changedAt_)
-        held = start;
+    Model::ShiftStart &current = mirror.shiftStarts_[{start.service_, start.origin_}];
+    if (start.changedAt_ >= current.changedAt_)
+        current = start;
 }
 
 } // namespace
@@ -77,7 +77,8 @@
         if (stored.key_ == versionKey) {
             const Model::TableVersion version(std::strtoull(stored.value_->c_str(), nullptr, 10));
             if (version < next.version_) {
-                Model::fail(ResultCode::OldVersionRefused, "store offers " + *stored.value_);
+                Model::fail(ResultCode::OldVersionRefused,
+                            "the store has version " + *stored.value_);
                 return false;
             }
             next.version_ = version;
@@ -85,15 +86,15 @@
             const auto row = rowFromStore(stored.key_, *stored.value_);
             if (!row)
                 return false;
-            put(next, *row);
+            putIfNewer(next, *row);
         } else if (stored.key_.starts_with(shiftPrefix)) {
             const auto start = shiftFromStore(stored.key_, *stored.value_);
             if (!start)
                 return false;
-            put(next, *start);
+            putIfNewer(next, *start);
         }
     }
-    next.seen_ = rows.revision_;
+    next.readRevision_ = rows.revision_;
     mirror = std::move(next);
     return true;
 }
@@ -118,18 +119,19 @@
 {
     if (delta.version_ <= mirror.version_) {
         Model::fail(ResultCode::OldVersionRefused,
-                    "peer offers " + std::to_string(delta.version_.value()));
+                    "the peer has version " + std::to_string(delta.version_.value()));
         return false;
     }
     if (delta.base_ > mirror.version_) {
-        Model::fail(ResultCode::SnapshotInvalid, "delta begins after the version held");
+        Model::fail(ResultCode::SnapshotInvalid,
+                    "the delta's base is newer than the current version");
         return false;
     }
     TableMirror next = mirror;
     for (const auto &row : delta.rows_)
-        put(next, row);
+        putIfNewer(next, row);
     for (const auto &start : delta.shiftStarts_)
-        put(next, start);
+        putIfNewer(next, start);
     next.version_ = delta.version_;
     if (!buildTable(next))
         return false;
--- a/Libraries/LibPlatform/TableMirror.h
+++ b/Libraries/LibPlatform/TableMirror.h
@@ -8,13 +8,13 @@
 
 namespace Platform {
 
-/// Every row of the operators' table lives under this prefix.
+/// The key prefix of all rows of the operators' table.
 constexpr const char *tablePrefix = "table/";
 constexpr const char *versionKey = "table/version";
 constexpr const char *auditPrefix = "audit/";
 constexpr const char *editPrefix = "edit/";
 
-/// The table's rows as they are known here, whoever told of them: the store or a peer.
+/// A local copy of the table's rows, updated from the store and from peers.
 ///
 /// Thread safety: none.
 struct TableMirror
@@ -22,20 +22,20 @@
     Model::TableVersion version_;
     std::map<Model::RowKey, Model::Row> rows_;
     std::map<std::pair<Model::ServiceId, Model::RegionId>, Model::ShiftStart> shiftStarts_;
-    /// The store's revision up to which everything has been read.
-    Revision seen_;
-    /// The revisions of the store's keys, for conditions of an edit.
+    /// The store's revision up to which all changes have been read.
+    Revision readRevision_;
+    /// The revisions of the store's keys, for the conditions of an edit.
     std::map<std::string, Revision> revisions_;
 };
 
-/// Takes in what readRows() returned for tablePrefix. Rows never go back to an older state.
+/// Applies the result of readRows() for tablePrefix. Rows never revert to an older state.
 ///
 /// Returns false, with PlatformBadAnswer or OldVersionRefused as the last reason and \a mirror
-/// unchanged, if a row cannot be read or the answer's version is below the one held.
+/// unchanged, if a row is invalid or the answer's version is lower than that of \a mirror.
 /// Thread safety: none.
 bool takeIn(TableMirror &mirror, const StoredRows &rows);
 
-/// What changed in a table after a version: what a peer that holds that version lacks.
+/// The changes to a table after a base version: the updates that a peer at that version is missing.
 struct TableDelta
 {
     Model::TableVersion base_;
@@ -44,19 +44,20 @@
     std::vector<Model::ShiftStart> shiftStarts_;
 };
 
-/// Returns what changed after \a base. Thread safety: none.
+/// Returns the changes after \a base. Thread safety: none.
 TableDelta deltaSince(const TableMirror &mirror, Model::TableVersion base);
 
-/// Takes in what a peer sent. Returns false, with OldVersionRefused or SnapshotInvalid as the last
-/// reason and \a mirror unchanged, unless it leads from a version that is held to a newer one.
+/// Applies a delta from a peer. Returns false, with OldVersionRefused or SnapshotInvalid as the
+/// last reason and \a mirror unchanged, unless its base is at most the version of \a mirror, its
+/// version is newer and the resulting table is valid.
 ///
 /// Thread safety: none.
 bool takeIn(TableMirror &mirror, const TableDelta &delta);
 
-/// Builds the checked table. Errors as for Model::Table::build(). Thread safety: none.
+/// Builds the validated table. Errors as for Model::Table::build(). Thread safety: none.
 std::optional<Model::Table> buildTable(const TableMirror &mirror);
 
-/// Returns the keys under which the store keeps a row and a shift's start, and their values.
+/// Return the store's keys and values of a row and of the start of a shift.
 ///
 /// Thread safety: any thread.
 std::string storeKey(const Model::RowKey &row);
--- a/Services/Controld/ControlState.cpp
+++ b/Services/Controld/ControlState.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr Milliseconds reportLifetime{1000};
-/// A change reaches all peers within this time; gossip rounds stay frequent for this long after one.
+/// A change reaches all peers within this time; gossip rounds stay frequent for this long after
+/// one.
 constexpr Milliseconds gossipConvergenceTime{4000};
 /// A region without any known summary delays a new instance for at most this duration.
 constexpr Milliseconds regionDiscoveryTimeout{5000};
@@ -91,10 +92,10 @@
     changed_.notify_all();
 }
 
-Platform::Revision ControlState::seenRevision() const
+Platform::Revision ControlState::readRevision() const
 {
     const std::lock_guard lock(mutex_);
-    return gossip_.table_.seen_;
+    return gossip_.table_.readRevision_;
 }
 
 void ControlState::advanceHeartbeat()
@@ -102,7 +103,7 @@
     const std::lock_guard lock(mutex_);
     ++gossip_.self_.heartbeat_;
     expireReports();
-    Peers::forgetSilent(gossip_.members_, silentMemberRetention, steadyNow());
+    Peers::removeSilentMembers(gossip_.members_, silentMemberRetention, steadyNow());
     refreshSummary();
     updateQuarantines();
     if (steadyNow() - startedAt_ >= Policy::startPatience)
@@ -159,7 +160,7 @@
     if (isNew && summary.contacts_.empty())
         return;
     gossip_.members_.summaries_[region] = std::move(summary);
-    gossip_.members_.summaryHeardAt_[region] = steadyNow();
+    gossip_.members_.summaryMadeAt_[region] = steadyNow();
 }
 
 cassiacrank::PullRequest ControlState::makePull(bool isSameRegion) const
@@ -270,7 +271,7 @@
     bool isChanged = false;
     for (const auto &mark : report.marks()) {
         isChanged |= Policy::markLeaving(gossip_.members_.marks_, Model::TargetId(mark.target()),
-                                      Model::Incarnation(mark.incarnation()));
+                                         Model::Incarnation(mark.incarnation()));
     }
     Policy::takeIn(gossip_.crashes_, Peers::fromMessage(report.crashes()), steadyNow());
     recordCrashChanges();
--- a/Services/Controld/ControlState.h
+++ b/Services/Controld/ControlState.h
@@ -40,7 +40,7 @@
     void onStoreFailure();
     void onInstances(std::vector<Model::Instance> instances);
     void onClientBlocks(const std::string &text);
-    Platform::Revision seenRevision() const;
+    Platform::Revision readRevision() const;
 
     /// Increments the heartbeat and drops expired state.
     void advanceHeartbeat();
@@ -59,11 +59,12 @@
     void beginLeaving();
     bool isReady() const;
 
-    /// Waits for changes that \a sent does not include, or for a limited time, and returns a snapshot.
+    /// Waits for changes that \a sent does not include, or for a limited time, and returns a
+    /// snapshot.
     cassiacrank::Snapshot waitForSnapshot(SentState &sent, bool &isClosed);
     void onSubscriberConnected();
     void onSubscriberDisconnected();
-    /// Waits until no process of the instance is subscribed, for at most \a patience.
+    /// Waits until no process of the instance is subscribed, for at most \a timeout.
     void waitForSubscribersToDisconnect(Model::Milliseconds timeout);
     /// Wakes every waitForSnapshot() call and marks its stream as closed.
     void close();
@@ -77,7 +78,8 @@
     void onTableChanged();
     /// Records a change, which is sent to the subscribers after at most one snapshot interval.
     void recordChange();
-    /// Records a change only if urgentFingerprint() changed; other changes wait for the next snapshot.
+    /// Records a change only if urgentFingerprint() changed; other changes wait for the next
+    /// snapshot.
     void recordUrgentChange();
     /// Returns a hash of the state that affects placement at once: members that join, fail, leave
     /// or become ready, and targets with a leaving marker.
--- a/Services/Controld/ControlStatus.cpp
+++ b/Services/Controld/ControlStatus.cpp
@@ -14,7 +14,7 @@
     const Peers::InstanceRecord &self = gossip_.self_;
     json members = json::array();
     for (const auto &[id, member] : gossip_.members_.members_) {
-        const auto age = std::chrono::duration_cast<Milliseconds>(now - member.heardAt_);
+        const auto age = std::chrono::duration_cast<Milliseconds>(now - member.recordReceivedAt_);
         members.push_back({{"id", id.value()},
                            {"alive", Peers::isAlive(member, now)},
                            {"leaving", member.record_.instance_.isLeaving_},
@@ -30,7 +30,7 @@
         if (region == settings_.region_)
             continue;
         const auto age = std::chrono::duration_cast<Milliseconds>(
-            now - gossip_.members_.summaryHeardAt_.at(region));
+            now - gossip_.members_.summaryMadeAt_.at(region));
         regions.push_back({{"id", region.value()},
                            {"entries", summary.contacts_.size()},
                            {"out", !Peers::isFresh(gossip_.members_, region, now)},
--- a/Services/Controld/PeerService.h
+++ b/Services/Controld/PeerService.h
@@ -26,7 +26,7 @@
 };
 
 /// Serves the processes of the local instance. It listens on a separate address, so that no other
-/// instance can send reports on their behalf.
+/// instance can send reports on behalf of these processes.
 ///
 /// Thread safety: called by gRPC on any of its threads.
 class LocalService final : public cassiacrank::Control::Service
--- a/Services/Controld/StorePoller.cpp
+++ b/Services/Controld/StorePoller.cpp
@@ -49,14 +49,15 @@
 {
     while (true) {
         const auto rows
-            = co_await Platform::readRows(store_, Platform::tablePrefix, state_.seenRevision());
+            = co_await Platform::readRows(store_, Platform::tablePrefix, state_.readRevision());
         reads_ = store_.reads_;
         if (rows) {
             state_.onStoreRows(*rows);
         } else {
             state_.onStoreFailure();
         }
-        const Milliseconds interval = state_.isReady() ? pollInterval(tableShare) : startPollInterval;
+        const Milliseconds interval
+            = state_.isReady() ? pollInterval(tableShare) : startPollInterval;
         co_await Http::sleepFor(interval);
     }
 }
@@ -70,7 +71,8 @@
         const auto blocks = co_await Platform::readObject(store_, clientBlocksObject);
         if (blocks)
             state_.onClientBlocks(*blocks);
-        const Milliseconds interval = state_.isReady() ? 2 * pollInterval(listShare) : startPollInterval;
+        const Milliseconds interval
+            = state_.isReady() ? 2 * pollInterval(listShare) : startPollInterval;
         co_await Http::sleepFor(interval);
     }
 }
--- a/Services/Lookupd/LookupPage.cpp
+++ b/Services/Lookupd/LookupPage.cpp
@@ -45,7 +45,8 @@
                                              const std::string &path, const std::string &remoteHost)
 {
     if (!path.starts_with(entryPath))
-        return Model::fail(ResultCode::BadLookupQuery, "ask /v1/entry?service=NAME&caller=NAME");
+        return Model::fail(ResultCode::BadLookupQuery,
+                           "expected /v1/entry?service=NAME&caller=NAME");
     const std::string_view parameters = std::string_view(path).substr(entryPath.size());
     const auto service = parameter(parameters, "service");
     if (!service)
@@ -62,10 +63,10 @@
             return Model::fail(ResultCode::BadLookupQuery, "no region '" + *origin + "'");
         return query;
     }
-    const auto *place
+    const auto *location
         = snapshot.view_.blocks_ ? snapshot.view_.blocks_->placeOf(remoteHost) : nullptr;
-    query.origin_ = place ? place->region_ : snapshot.ownRegion_;
-    query.nearDomain_ = place ? place->domain_ : Model::FailureDomainId();
+    query.origin_ = location ? location->region_ : snapshot.localRegion_;
+    query.nearDomain_ = location ? location->domain_ : Model::FailureDomainId();
     return query;
 }
 
@@ -73,9 +74,9 @@
                                       const Policy::LookupQuery &query)
 {
     using nlohmann::json;
-    const auto ranked = Policy::rankEntries(query, snapshot.candidates_, snapshot.mostEntries_);
+    const auto ranked = Policy::rankEntries(query, snapshot.candidates_, snapshot.maxEntries_);
     if (ranked.empty())
-        return Model::fail(ResultCode::NotReady, "no entry is known that serves");
+        return Model::fail(ResultCode::NotReady, "no serving entry is known");
     json entries = json::array();
     for (const auto &instance : ranked) {
         entries.push_back({{"id", instance.id_.value()},
--- a/Services/Lookupd/main.cpp
+++ b/Services/Lookupd/main.cpp
@@ -11,13 +11,13 @@
 using Observe::Event;
 using Observe::ExitCode;
 
-/// How long a mark of leaving may take to reach every other look-up.
-constexpr Milliseconds spreadTime{1500};
-constexpr Milliseconds reportPause{100};
-/// Every so many pauses a report is sent though nothing changed, as a sign of life.
-constexpr int routineReportPauses = 4;
+/// Time allowed for the leaving flag to reach every other look-up process.
+constexpr Milliseconds leavingPropagationTime{1500};
+constexpr Milliseconds reportInterval{100};
+/// A report without changes is sent after this many intervals, as a heartbeat.
+constexpr int routineReportIntervals = 4;
 
-/// Publishes what the control process tells, for the threads that answer.
+/// Publishes the snapshots of the control process to the threads that answer look-ups.
 class LookupState
 {
 public:
@@ -33,8 +33,8 @@
         auto next = std::make_unique<LookupSnapshot>();
         next->view_ = view_;
         next->candidates_ = Peers::entryCandidates(view_);
-        next->ownRegion_ = settings_.region_;
-        next->mostEntries_ = static_cast<std::size_t>(settings_.lookupEntries_);
+        next->localRegion_ = settings_.region_;
+        next->maxEntries_ = static_cast<std::size_t>(settings_.lookupEntries_);
         next->timeToLive_ = settings_.lookupTimeToLive_;
         cell_.publish(std::move(next));
     }
@@ -70,7 +70,7 @@
     mutable std::atomic<std::uint64_t> lookups_{0};
 };
 
-/// One thread that answers look-ups from memory.
+/// A thread that answers look-ups from memory.
 class LookupThread
 {
 public:
@@ -129,20 +129,20 @@
     std::thread thread_;
 };
 
-/// Tells the control process which version is used here, until told to stop.
+/// Reports the table version in use to the control process until \a isOver is set.
 void reportLoop(Peers::ControlClient &client, const LookupState &state,
                 const std::atomic<bool> &isStopping, const std::atomic<bool> &isOver)
 {
     cassiacrank::ProcessReport report;
     report.set_role("lookup");
-    for (int pauses = 0; !isOver; ++pauses) {
-        const bool isNews
+    for (int intervals = 0; !isOver; ++intervals) {
+        const bool isChanged
             = report.table_version() != state.version() || report.stopping() != isStopping;
         report.set_table_version(state.version());
         report.set_stopping(isStopping);
-        if (isNews || pauses % routineReportPauses == 0)
+        if (isChanged || intervals % routineReportIntervals == 0)
             client.report(report);
-        std::this_thread::sleep_for(reportPause);
+        std::this_thread::sleep_for(reportInterval);
     }
 }
 
@@ -195,8 +195,8 @@
     isStopping = true;
     for (const auto &thread : threads)
         thread->beginLeaving();
-    // Callers that hold an answer of this process may come back until it has lapsed.
-    std::this_thread::sleep_for(spreadTime + settings.lookupTimeToLive_);
+    // Callers may use this process until the time to live of their last answer ends.
+    std::this_thread::sleep_for(leavingPropagationTime + settings.lookupTimeToLive_);
     for (const auto &thread : threads)
         thread->stop();
     isOver = true;
@@ -211,7 +211,7 @@
 int main(int argc, char **argv)
 {
     const auto start = Observe::startDaemon(
-        argc, argv, "lookupd: tells callers which entry to use, from memory alone.");
+        argc, argv, "lookupd: answers from memory which entry a caller should use.");
     if (!start.settings_)
         return static_cast<int>(start.exitCode_);
     return static_cast<int>(run(*start.settings_));
--- a/Tests/LibPeers/TestGossip.cpp
+++ b/Tests/LibPeers/TestGossip.cpp
@@ -21,30 +21,30 @@
     return state;
 }
 
-void pull(Peers::GossipState &asker, Peers::GossipState &asked, SteadyTime now)
+void pull(Peers::GossipState &requester, Peers::GossipState &responder, SteadyTime now)
 {
-    const bool isSame = asker.self_.instance_.region_ == asked.self_.instance_.region_;
-    const auto answer = Peers::answerPull(asked, Peers::makePull(asker, isSame, now), now);
-    Peers::takeInAnswer(asker, answer, now);
+    const bool isSame = requester.self_.instance_.region_ == responder.self_.instance_.region_;
+    const auto answer = Peers::answerPull(responder, Peers::makePull(requester, isSame, now), now);
+    Peers::takeInAnswer(requester, answer, now);
 }
 
 class TestGossip : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestGossip);
-    CPPUNIT_TEST(newsReachesEveryoneInAFewRounds);
+    CPPUNIT_TEST(changeReachesAllInstancesInAFewRounds);
     CPPUNIT_TEST(recordsStayInTheirRegion);
-    CPPUNIT_TEST(leavingIsStickyForTheIncarnation);
+    CPPUNIT_TEST(leavingIsPermanentForTheIncarnation);
     CPPUNIT_TEST(oldRecordsAndSummariesAreRefused);
-    CPPUNIT_TEST(deadMembersAreNotNamed);
-    CPPUNIT_TEST(lastWordOfADeadRegionStaysOld);
-    CPPUNIT_TEST(regionIsKnownOnceItNamesEntriesOrFellSilent);
-    CPPUNIT_TEST(summaryTellsWhereTrafficStands);
+    CPPUNIT_TEST(failedMembersAreNotListed);
+    CPPUNIT_TEST(lastSummaryOfAFailedRegionKeepsItsAge);
+    CPPUNIT_TEST(regionIsKnownOnceItListsEntriesOrExpires);
+    CPPUNIT_TEST(summaryHasCurrentShares);
     CPPUNIT_TEST(badMessagesAreDroppedWhole);
     CPPUNIT_TEST(olderSnapshotIsRefusedByTheProcesses);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void newsReachesEveryoneInAFewRounds()
+    void changeReachesAllInstancesInAFewRounds()
     {
         for (std::uint64_t seed = 0; seed < 100; ++seed) {
             const int rounds = roundsToReachAll(seed);
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Lets 12 instances of 3 regions ask 2 random others a round, 1 exchange in 10 being lost.
+    /// 12 instances of 3 regions pull from 2 random peers per round; 1 exchange in 10 is lost.
     static int roundsToReachAll(std::uint64_t seed)
     {
         std::mt19937_64 random(seed);
@@ -65,14 +65,14 @@
         row.changedAt_ = Model::TableVersion(1);
         states[0].table_.rows_[row.key_] = row;
         states[0].table_.version_ = Model::TableVersion(1);
-        const auto knowsIt = [](const auto &state) {
+        const auto isUpdated = [](const auto &state) {
             return state.table_.version_ == Model::TableVersion(1);
         };
         int rounds = 0;
-        while (!std::all_of(states.begin(), states.end(), knowsIt)) {
+        while (!std::all_of(states.begin(), states.end(), isUpdated)) {
             ++rounds;
             for (std::size_t i = 0; i < states.size(); ++i) {
-                for (int ask = 0; ask < 2; ++ask) {
+                for (int attempt = 0; attempt < 2; ++attempt) {
                     const std::size_t other = random() % states.size();
                     if (other != i && random() % 10 != 0)
                         pull(states[i], states[other], SteadyTime());
@@ -84,19 +84,18 @@
 
     void recordsStayInTheirRegion()
     {
-        auto near = stateOf("near", "r");
+        auto local = stateOf("near", "r");
         auto other = stateOf("other", "r");
-        auto far = stateOf("far", "q");
-        pull(near, other, SteadyTime());
-        pull(near, far, SteadyTime());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), near.members_.members_.size());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), far.members_.members_.size());
+        auto remote = stateOf("far", "q");
+        pull(local, other, SteadyTime());
+        pull(local, remote, SteadyTime());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), local.members_.members_.size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), remote.members_.members_.size());
     }
 
-    // Symptom: a look-up names an instance that is stopping.
-    // Sequence: an instance says it is leaving; an older or a garbled record of it goes round.
-    // Cause: a mark that the next record takes back.
-    void leavingIsStickyForTheIncarnation()
+    // Guards against look-ups that list a stopping instance: an instance announces that it is
+    // leaving, and a later record of the same incarnation without the flag clears it.
+    void leavingIsPermanentForTheIncarnation()
     {
         Peers::Members members;
         auto record = stateOf("i", "r").self_;
@@ -105,11 +104,11 @@
         record.instance_.isLeaving_ = false;
         record.heartbeat_ = 2;
         Peers::takeIn(members, record, SteadyTime());
-        const auto &held = members.members_.at(Model::InstanceId("i")).record_;
-        CPPUNIT_ASSERT(held.instance_.isLeaving_);
+        const auto &current = members.members_.at(Model::InstanceId("i")).record_;
+        CPPUNIT_ASSERT(current.instance_.isLeaving_);
         record.incarnation_ = Model::Incarnation(2);
         Peers::takeIn(members, record, SteadyTime());
-        CPPUNIT_ASSERT(!held.instance_.isLeaving_);
+        CPPUNIT_ASSERT(!current.instance_.isLeaving_);
     }
 
     void oldRecordsAndSummariesAreRefused()
@@ -127,7 +126,7 @@
         CPPUNIT_ASSERT(!Peers::takeIn(members, summary, SteadyTime()));
     }
 
-    void deadMembersAreNotNamed()
+    void failedMembersAreNotListed()
     {
         Peers::Members members;
         auto record = stateOf("i", "r").self_;
@@ -143,48 +142,47 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), contactsAt(Peers::memberLifetime + Milliseconds(1)));
     }
 
-    // Symptom: an instance that was replaced during a region's outage sends requests to the dead
-    //   region for as long as a summary lives.
-    // Sequence: a region dies; its last summary goes round on; an instance starts and hears it.
-    // Cause: counting a summary's age from when it was first heard here.
-    void lastWordOfADeadRegionStaysOld()
+    // Guards against an instance, replaced during a region's outage, that sends requests to the
+    // failed region for a whole summaryLifetime. The region's last summary still spreads; a new
+    // instance that counts its age from the local receipt considers it fresh.
+    void lastSummaryOfAFailedRegionKeepsItsAge()
     {
         auto peer = stateOf("peer", "r");
         auto fresh = stateOf("fresh", "r");
         Peers::RegionSummary summary;
         summary.region_ = Model::RegionId("q");
         summary.madeAt_ = Model::WallTime(Milliseconds(5));
-        const SteadyTime heard(std::chrono::hours(1));
-        Peers::takeIn(peer.members_, summary, heard);
-        pull(fresh, peer, heard + Peers::summaryLifetime);
+        const SteadyTime receivedAt(std::chrono::hours(1));
+        Peers::takeIn(peer.members_, summary, receivedAt);
+        pull(fresh, peer, receivedAt + Peers::summaryLifetime);
         const auto isFreshAt = [&](Milliseconds later) {
-            const SteadyTime at = heard + Peers::summaryLifetime + later;
+            const SteadyTime at = receivedAt + Peers::summaryLifetime + later;
             return Peers::isFresh(fresh.members_, summary.region_, at);
         };
         CPPUNIT_ASSERT(isFreshAt(Milliseconds(0)));
         CPPUNIT_ASSERT(!isFreshAt(Milliseconds(1)));
     }
 
-    void regionIsKnownOnceItNamesEntriesOrFellSilent()
+    void regionIsKnownOnceItListsEntriesOrExpires()
     {
         Peers::Members members;
         const Model::RegionId region("q");
-        const SteadyTime heard(std::chrono::hours(1));
-        CPPUNIT_ASSERT(!Peers::isKnown(members, region, heard));
+        const SteadyTime receivedAt(std::chrono::hours(1));
+        CPPUNIT_ASSERT(!Peers::isKnown(members, region, receivedAt));
         Peers::RegionSummary summary;
         summary.region_ = region;
         summary.madeAt_ = Model::WallTime(Milliseconds(5));
-        Peers::takeIn(members, summary, heard);
-        CPPUNIT_ASSERT(!Peers::isKnown(members, region, heard));
-        const SteadyTime silent = heard + Peers::summaryLifetime + Milliseconds(1);
-        CPPUNIT_ASSERT(Peers::isKnown(members, region, silent));
+        Peers::takeIn(members, summary, receivedAt);
+        CPPUNIT_ASSERT(!Peers::isKnown(members, region, receivedAt));
+        const SteadyTime expiredAt = receivedAt + Peers::summaryLifetime + Milliseconds(1);
+        CPPUNIT_ASSERT(Peers::isKnown(members, region, expiredAt));
         summary.madeAt_ = Model::WallTime(Milliseconds(6));
         summary.contacts_.push_back(stateOf("i", "q").self_.instance_);
-        Peers::takeIn(members, summary, heard);
-        CPPUNIT_ASSERT(Peers::isKnown(members, region, heard));
+        Peers::takeIn(members, summary, receivedAt);
+        CPPUNIT_ASSERT(Peers::isKnown(members, region, receivedAt));
     }
 
-    void summaryTellsWhereTrafficStands()
+    void summaryHasCurrentShares()
     {
         Peers::Members members;
         auto record = stateOf("i", "r").self_;
@@ -209,8 +207,8 @@
         answer.mutable_delta()->set_version(9);
         answer.mutable_delta()->add_rows()->set_key("nonsense");
         answer.add_records()->mutable_instance()->set_id("x");
-        const auto news = Peers::takeInAnswer(state, answer, SteadyTime());
-        CPPUNIT_ASSERT(!news.tableChanged_ && !news.liveChanged_);
+        const auto result = Peers::takeInAnswer(state, answer, SteadyTime());
+        CPPUNIT_ASSERT(!result.tableChanged_ && !result.liveChanged_);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), state.table_.version_.value());
     }
 
--- a/Tests/LibPlatform/TestTableMirror.cpp
+++ b/Tests/LibPlatform/TestTableMirror.cpp
@@ -50,9 +50,8 @@
         CPPUNIT_ASSERT_EQUAL(5.0, table->regions().front().weight_.value());
     }
 
-    // Symptom: an accepted edit reverts.
-    // Sequence: the store fails over to a replica that lags, and answers with an older version.
-    // Cause: believing whoever answers.
+    // Guards against an accepted edit that reverts: the store fails over to a lagging replica and
+    // answers with an older version, which must not replace the newer one.
     void olderStoreIsRefused()
     {
         Platform::TableMirror mirror;
@@ -77,11 +76,11 @@
             }
             Platform::TableMirror peer;
             for (int exchange = 0; exchange < 10; ++exchange) {
-                const auto &teacher
+                const auto &sender
                     = history[static_cast<std::size_t>(*rc::gen::inRange(0, int(edits)))];
                 const auto before = peer.version_;
-                Platform::takeIn(peer, Platform::deltaSince(teacher, peer.version_));
-                RC_ASSERT(peer.version_ >= before && peer.version_ >= teacher.version_);
+                Platform::takeIn(peer, Platform::deltaSince(sender, peer.version_));
+                RC_ASSERT(peer.version_ >= before && peer.version_ >= sender.version_);
             }
             Platform::takeIn(peer, Platform::deltaSince(source, peer.version_));
             RC_ASSERT(peer.version_ == source.version_);
