--- a/Libraries/LibPlatform/Store.cpp
+++ b/Libraries/LibPlatform/Store.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Sends a read, retried on a new connection if a pooled one failed: reads are idempotent.
+/// Sends a read and parses the JSON answer.
 Task<std::optional<json>> readJson(Store &store, std::string target)
 {
     ++store.reads_;
