--- a/Libraries/LibPeers/Gossip.cpp
+++ b/Libraries/LibPeers/Gossip.cpp
@@ -42,7 +42,7 @@
         return false;
     if (record->instance_.id_ == state.self_.instance_.id_)
         return false;
-    return takeIn(state.members_, *record, now);
+    return mergeIfNewer(state.members_, *record, now);
 }
 
 void appendNewerRecords(const GossipState &state, const cassiacrank::PullRequest &request,
@@ -145,7 +145,7 @@
     result.responderVersion_ = Model::TableVersion(answer.table_version());
     if (answer.has_delta()) {
         const auto delta = fromMessage(answer.delta());
-        result.tableChanged_ = delta && Platform::takeIn(state.table_, *delta);
+        result.tableChanged_ = delta && Platform::applyDelta(state.table_, *delta);
     }
     for (const auto &record : answer.records())
         result.liveChanged_ |= mergeRecord(state, record, now);
@@ -158,7 +158,7 @@
             result.localRegionHasSummary_ |= summary->age_ <= summaryLifetime;
             continue;
         }
-        result.liveChanged_ |= takeIn(state.members_, *summary, now);
+        result.liveChanged_ |= mergeIfNewer(state.members_, *summary, now);
     }
     result.liveChanged_ |= mergeMarks(state.members_.marks_, answer);
     Policy::takeIn(state.crashes_, fromMessage(answer.crashes()), now);
--- a/Libraries/LibPeers/InstanceView.cpp
+++ b/Libraries/LibPeers/InstanceView.cpp
@@ -67,7 +67,7 @@
 
 } // namespace
 
-ViewChange takeIn(InstanceView &view, const cassiacrank::Snapshot &snapshot)
+ViewChange applySnapshot(InstanceView &view, const cassiacrank::Snapshot &snapshot)
 {
     ViewChange change;
     if (snapshot.has_table())
--- a/Libraries/LibPeers/InstanceView.h
+++ b/Libraries/LibPeers/InstanceView.h
@@ -37,7 +37,7 @@
 /// restarted control process may hold an older table than this process.
 ///
 /// Thread safety: none.
-ViewChange takeIn(InstanceView &view, const cassiacrank::Snapshot &snapshot);
+ViewChange applySnapshot(InstanceView &view, const cassiacrank::Snapshot &snapshot);
 
 /// Returns the candidates for a look-up: all live instances in the local region, each with whether
 /// it serves, and the contacts of the other regions. Thread safety: any thread.
--- a/Libraries/LibPeers/Members.cpp
+++ b/Libraries/LibPeers/Members.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-bool takeIn(Members &members, const InstanceRecord &record, Model::SteadyTime now)
+bool mergeIfNewer(Members &members, const InstanceRecord &record, Model::SteadyTime now)
 {
     const auto [found, isNew] = members.members_.try_emplace(record.instance_.id_);
     Member &member = found->second;
@@ -40,7 +40,7 @@
     return true;
 }
 
-bool takeIn(Members &members, const RegionSummary &summary, Model::SteadyTime now)
+bool mergeIfNewer(Members &members, const RegionSummary &summary, Model::SteadyTime now)
 {
     RegionSummary &current = members.summaries_[summary.region_];
     if (summary.madeAt_ <= current.madeAt_)
--- a/Libraries/LibPeers/Members.h
+++ b/Libraries/LibPeers/Members.h
@@ -95,10 +95,10 @@
 ///
 /// An instance that announced that it is leaving stays leaving for that incarnation.
 /// Thread safety: none.
-bool takeIn(Members &members, const InstanceRecord &record, Model::SteadyTime now);
+bool mergeIfNewer(Members &members, const InstanceRecord &record, Model::SteadyTime now);
 
 /// Stores \a summary if it is newer than the known one. Returns whether it was.
-bool takeIn(Members &members, const RegionSummary &summary, Model::SteadyTime now);
+bool mergeIfNewer(Members &members, const RegionSummary &summary, Model::SteadyTime now);
 
 /// Removes members without a newer record for longer than \a maxSilence. Failed members are kept
 /// until then, so that an old record that still spreads is not mistaken for a new instance. Thread
--- a/Libraries/LibPlatform/Edits.cpp
+++ b/Libraries/LibPlatform/Edits.cpp
@@ -148,7 +148,7 @@
     if (!rows)
         co_return std::nullopt;
     TableMirror mirror;
-    if (!takeIn(mirror, *rows))
+    if (!applyRows(mirror, *rows))
         co_return std::nullopt;
     co_return std::optional<TableMirror>(std::move(mirror));
 }
--- a/Libraries/LibPlatform/TableMirror.cpp
+++ b/Libraries/LibPlatform/TableMirror.cpp
@@ -65,7 +65,7 @@
 
 } // namespace
 
-bool takeIn(TableMirror &mirror, const StoredRows &rows)
+bool applyRows(TableMirror &mirror, const StoredRows &rows)
 {
     TableMirror next = mirror;
     if (next.version_ == Model::TableVersion(0))
@@ -115,7 +115,7 @@
     return delta;
 }
 
-bool takeIn(TableMirror &mirror, const TableDelta &delta)
+bool applyDelta(TableMirror &mirror, const TableDelta &delta)
 {
     if (delta.version_ <= mirror.version_) {
         Model::fail(ResultCode::OldVersionRefused,
--- a/Libraries/LibPlatform/TableMirror.h
+++ b/Libraries/LibPlatform/TableMirror.h
@@ -33,7 +33,7 @@
 /// Returns false, with PlatformBadAnswer or OldVersionRefused as the last reason and \a mirror
 /// unchanged, if a row is invalid or the answer's version is lower than that of \a mirror.
 /// Thread safety: none.
-bool takeIn(TableMirror &mirror, const StoredRows &rows);
+bool applyRows(TableMirror &mirror, const StoredRows &rows);
 
 /// The changes to a table after a base version: the updates that a peer at that version is missing.
 struct TableDelta
@@ -52,7 +52,7 @@
 /// version is newer and the resulting table is valid.
 ///
 /// Thread safety: none.
-bool takeIn(TableMirror &mirror, const TableDelta &delta);
+bool applyDelta(TableMirror &mirror, const TableDelta &delta);
 
 /// Builds the validated table. Errors as for Model::Table::build(). Thread safety: none.
 std::optional<Model::Table> buildTable(const TableMirror &mirror);
--- a/Services/Controld/ControlState.cpp
+++ b/Services/Controld/ControlState.cpp
@@ -52,7 +52,7 @@
     storeIsDown_ = false;
     const Model::TableVersion before = gossip_.table_.version_;
     Platform::TableMirror next = gossip_.table_;
-    if (!Platform::takeIn(next, rows) || (!rows.rows_.empty() && !Platform::buildTable(next))) {
+    if (!Platform::applyRows(next, rows) || (!rows.rows_.empty() && !Platform::buildTable(next))) {
         Observe::logEvent(Event::TableRefused, {{"reason", toText(Model::lastReason())}});
         return;
     }
--- a/Services/Lookupd/main.cpp
+++ b/Services/Lookupd/main.cpp
@@ -28,7 +28,7 @@
 
     void onSnapshot(const cassiacrank::Snapshot &snapshot)
     {
-        Peers::takeIn(view_, snapshot);
+        Peers::applySnapshot(view_, snapshot);
         version_ = view_.table_ ? view_.table_->version().value() : 0;
         auto next = std::make_unique<LookupSnapshot>();
         next->view_ = view_;
--- a/Tests/LibPeers/TestGossip.cpp
+++ b/Tests/LibPeers/TestGossip.cpp
@@ -100,14 +100,14 @@
         Peers::Members members;
         auto record = stateOf("i", "r").self_;
         record.instance_.isLeaving_ = true;
-        CPPUNIT_ASSERT(Peers::takeIn(members, record, SteadyTime()));
+        CPPUNIT_ASSERT(Peers::mergeIfNewer(members, record, SteadyTime()));
         record.instance_.isLeaving_ = false;
         record.heartbeat_ = 2;
-        Peers::takeIn(members, record, SteadyTime());
+        Peers::mergeIfNewer(members, record, SteadyTime());
         const auto &current = members.members_.at(Model::InstanceId("i")).record_;
         CPPUNIT_ASSERT(current.instance_.isLeaving_);
         record.incarnation_ = Model::Incarnation(2);
-        Peers::takeIn(members, record, SteadyTime());
+        Peers::mergeIfNewer(members, record, SteadyTime());
         CPPUNIT_ASSERT(!current.instance_.isLeaving_);
     }
 
@@ -116,14 +116,14 @@
         Peers::Members members;
         auto record = stateOf("i", "r").self_;
         record.heartbeat_ = 5;
-        CPPUNIT_ASSERT(Peers::takeIn(members, record, SteadyTime()));
+        CPPUNIT_ASSERT(Peers::mergeIfNewer(members, record, SteadyTime()));
         record.heartbeat_ = 4;
-        CPPUNIT_ASSERT(!Peers::takeIn(members, record, SteadyTime()));
+        CPPUNIT_ASSERT(!Peers::mergeIfNewer(members, record, SteadyTime()));
         Peers::RegionSummary summary;
         summary.region_ = Model::RegionId("q");
         summary.madeAt_ = Model::WallTime(Milliseconds(5));
-        CPPUNIT_ASSERT(Peers::takeIn(members, summary, SteadyTime()));
-        CPPUNIT_ASSERT(!Peers::takeIn(members, summary, SteadyTime()));
+        CPPUNIT_ASSERT(Peers::mergeIfNewer(members, summary, SteadyTime()));
+        CPPUNIT_ASSERT(!Peers::mergeIfNewer(members, summary, SteadyTime()));
     }
 
     void failedMembersAreNotListed()
@@ -132,7 +132,7 @@
         auto record = stateOf("i", "r").self_;
         record.isReady_ = true;
         record.entryVersion_ = Model::TableVersion(1);
-        Peers::takeIn(members, record, SteadyTime());
+        Peers::mergeIfNewer(members, record, SteadyTime());
         const Model::RegionId region("r");
         const auto contactsAt = [&](Milliseconds at) {
             return Peers::summarise(members, region, Model::WallTime(), SteadyTime(at))
@@ -153,7 +153,7 @@
         summary.region_ = Model::RegionId("q");
         summary.madeAt_ = Model::WallTime(Milliseconds(5));
         const SteadyTime receivedAt(std::chrono::hours(1));
-        Peers::takeIn(peer.members_, summary, receivedAt);
+        Peers::mergeIfNewer(peer.members_, summary, receivedAt);
         pull(fresh, peer, receivedAt + Peers::summaryLifetime);
         const auto isFreshAt = [&](Milliseconds later) {
             const SteadyTime at = receivedAt + Peers::summaryLifetime + later;
@@ -172,13 +172,13 @@
         Peers::RegionSummary summary;
         summary.region_ = region;
         summary.madeAt_ = Model::WallTime(Milliseconds(5));
-        Peers::takeIn(members, summary, receivedAt);
+        Peers::mergeIfNewer(members, summary, receivedAt);
         CPPUNIT_ASSERT(!Peers::isKnown(members, region, receivedAt));
         const SteadyTime expiredAt = receivedAt + Peers::summaryLifetime + Milliseconds(1);
         CPPUNIT_ASSERT(Peers::isKnown(members, region, expiredAt));
         summary.madeAt_ = Model::WallTime(Milliseconds(6));
         summary.contacts_.push_back(stateOf("i", "q").self_.instance_);
-        Peers::takeIn(members, summary, receivedAt);
+        Peers::mergeIfNewer(members, summary, receivedAt);
         CPPUNIT_ASSERT(Peers::isKnown(members, region, receivedAt));
     }
 
@@ -189,9 +189,9 @@
         record.walked_.push_back({Model::ServiceId("s"),
                                   Model::RegionId("q"),
                                   {{Model::FailureDomainId("r-a"), Model::Share(0.25)}}});
-        Peers::takeIn(members, record, SteadyTime());
+        Peers::mergeIfNewer(members, record, SteadyTime());
         record.instance_.id_ = Model::InstanceId("j");
-        Peers::takeIn(members, record, SteadyTime());
+        Peers::mergeIfNewer(members, record, SteadyTime());
         const auto summary
             = Peers::summarise(members, Model::RegionId("r"), Model::WallTime(), SteadyTime());
         const auto copy = Peers::fromMessage(Peers::toMessage(summary));
@@ -217,9 +217,9 @@
         Peers::InstanceView view;
         cassiacrank::Snapshot snapshot;
         snapshot.mutable_table()->set_version(5);
-        CPPUNIT_ASSERT(Peers::takeIn(view, snapshot).tableChanged_);
+        CPPUNIT_ASSERT(Peers::applySnapshot(view, snapshot).tableChanged_);
         snapshot.mutable_table()->set_version(4);
-        CPPUNIT_ASSERT(Peers::takeIn(view, snapshot).tableRefused_);
+        CPPUNIT_ASSERT(Peers::applySnapshot(view, snapshot).tableRefused_);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(5), view.table_->version().value());
     }
 };
--- a/Tests/LibPlatform/TestTableMirror.cpp
+++ b/Tests/LibPlatform/TestTableMirror.cpp
@@ -43,7 +43,7 @@
     void rowsOfTheStoreMakeATable()
     {
         Platform::TableMirror mirror;
-        CPPUNIT_ASSERT(Platform::takeIn(mirror, storedRows(1, {regionRow("a", "5", 1)})));
+        CPPUNIT_ASSERT(Platform::applyRows(mirror, storedRows(1, {regionRow("a", "5", 1)})));
         const auto table = Platform::buildTable(mirror);
         CPPUNIT_ASSERT(table);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), table->version().value());
@@ -55,8 +55,8 @@
     void olderStoreIsRefused()
     {
         Platform::TableMirror mirror;
-        CPPUNIT_ASSERT(Platform::takeIn(mirror, storedRows(2, {regionRow("a", "6", 2)})));
-        CPPUNIT_ASSERT(!Platform::takeIn(mirror, storedRows(1, {regionRow("a", "5", 1)})));
+        CPPUNIT_ASSERT(Platform::applyRows(mirror, storedRows(2, {regionRow("a", "6", 2)})));
+        CPPUNIT_ASSERT(!Platform::applyRows(mirror, storedRows(1, {regionRow("a", "5", 1)})));
         CPPUNIT_ASSERT(Model::lastReason().code_ == ResultCode::OldVersionRefused);
         CPPUNIT_ASSERT_EQUAL(6.0, Platform::buildTable(mirror)->regions().front().weight_.value());
     }
@@ -71,7 +71,7 @@
                 const std::string name(1, static_cast<char>('a' + *rc::gen::inRange(0, 4)));
                 auto row = regionRow(name, std::to_string(*rc::gen::inRange(0, 9)), version);
                 row.deleted_ = *rc::gen::inRange(0, 4) == 0;
-                RC_ASSERT(Platform::takeIn(source, storedRows(version, {row})));
+                RC_ASSERT(Platform::applyRows(source, storedRows(version, {row})));
                 history.push_back(source);
             }
             Platform::TableMirror peer;
@@ -79,10 +79,10 @@
                 const auto &sender
                     = history[static_cast<std::size_t>(*rc::gen::inRange(0, int(edits)))];
                 const auto before = peer.version_;
-                Platform::takeIn(peer, Platform::deltaSince(sender, peer.version_));
+                Platform::applyDelta(peer, Platform::deltaSince(sender, peer.version_));
                 RC_ASSERT(peer.version_ >= before && peer.version_ >= sender.version_);
             }
-            Platform::takeIn(peer, Platform::deltaSince(source, peer.version_));
+            Platform::applyDelta(peer, Platform::deltaSince(source, peer.version_));
             RC_ASSERT(peer.version_ == source.version_);
             RC_ASSERT(peer.rows_ == source.rows_);
         });
@@ -91,10 +91,10 @@
     void deltaThatSkipsVersionsIsRefused()
     {
         Platform::TableMirror source;
-        Platform::takeIn(source, storedRows(3, {regionRow("a", "5", 3)}));
+        Platform::applyRows(source, storedRows(3, {regionRow("a", "5", 3)}));
         Platform::TableMirror peer;
         CPPUNIT_ASSERT(
-            !Platform::takeIn(peer, Platform::deltaSince(source, Model::TableVersion(2))));
+            !Platform::applyDelta(peer, Platform::deltaSince(source, Model::TableVersion(2))));
         CPPUNIT_ASSERT(Model::lastReason().code_ == ResultCode::SnapshotInvalid);
         CPPUNIT_ASSERT(peer.rows_.empty());
     }
@@ -104,27 +104,28 @@
         Platform::TableMirror mirror;
         auto rows = storedRows(1, {regionRow("a", "5", 1)});
         rows.rows_.push_back({"table/row/region b", "{not json", Revision(11)});
-        CPPUNIT_ASSERT(!Platform::takeIn(mirror, rows));
+        CPPUNIT_ASSERT(!Platform::applyRows(mirror, rows));
         CPPUNIT_ASSERT(mirror.rows_.empty());
     }
 
     void deletedRowStaysDeleted()
     {
         Platform::TableMirror source;
-        Platform::takeIn(source, storedRows(1, {regionRow("a", "5", 1)}));
+        Platform::applyRows(source, storedRows(1, {regionRow("a", "5", 1)}));
         Platform::TableMirror peer = source;
         auto row = regionRow("a", "5", 2);
         row.deleted_ = true;
-        Platform::takeIn(source, storedRows(2, {row}));
+        Platform::applyRows(source, storedRows(2, {row}));
         CPPUNIT_ASSERT(
-            Platform::takeIn(peer, Platform::deltaSince(source, Model::TableVersion(1))));
+            Platform::applyDelta(peer, Platform::deltaSince(source, Model::TableVersion(1))));
         CPPUNIT_ASSERT(Platform::buildTable(peer)->regions().empty());
     }
 
     void editChangesOnlyWhatItNames()
     {
         Platform::TableMirror mirror;
-        Platform::takeIn(mirror, storedRows(1, {regionRow("a", "5", 1), regionRow("b", "6", 1)}));
+        Platform::applyRows(mirror,
+                            storedRows(1, {regionRow("a", "5", 1), regionRow("b", "6", 1)}));
         Platform::Edit edit;
         edit.rows_.push_back({{Model::RowKind::Region, "a"}, {{"weight", std::nullopt}}, false});
         const auto after = Platform::rowsAfter(mirror, edit);
