--- a/Libraries/LibModel/Address.cpp
+++ b/Libraries/LibModel/Address.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-bool isIpNumber(const std::string &host)
+bool isIpAddress(const std::string &host)
 {
     in6_addr buffer;
     return inet_pton(AF_INET, host.c_str(), &buffer) == 1
@@ -32,7 +32,7 @@
     const char *first = text.data() + colon + 1;
     const char *last = text.data() + text.size();
     const auto [end, error] = std::from_chars(first, last, address.port_);
-    if (error != std::errc() || end != last || address.port_ == 0 || !isIpNumber(address.host_))
+    if (error != std::errc() || end != last || address.port_ == 0 || !isIpAddress(address.host_))
         return fail(ResultCode::BadValue, "'" + text + "' is not IP:port");
     return address;
 }
--- a/Libraries/LibModel/Address.h
+++ b/Libraries/LibModel/Address.h
@@ -7,7 +7,7 @@
 
 namespace Model {
 
-/// An IPv4 or IPv6 number and a TCP port. Names are not resolved: processes talk by IP numbers.
+/// An IPv4 or IPv6 address and a TCP port. Host names are not supported and never resolved.
 struct Address
 {
     std::string host_;
@@ -16,13 +16,13 @@
     auto operator<=>(const Address &) const = default;
 };
 
-/// Reads "192.0.2.1:80" or "[2001:db8::1]:80".
+/// Parses "192.0.2.1:80" or "[2001:db8::1]:80".
 ///
-/// Returns nothing, with BadValue as the last reason, for any other text. Thread safety: any
+/// Returns std::nullopt, with BadValue as the last reason, for any other text. Thread safety: any
 /// thread.
 std::optional<Address> addressFromText(const std::string &text);
 
-/// Returns the form that addressFromText() reads. Thread safety: any thread.
+/// Returns the form that addressFromText() parses. Thread safety: any thread.
 std::string toText(const Address &address);
 
 } // namespace Model
--- a/Libraries/LibModel/ClientBlocks.cpp
+++ b/Libraries/LibModel/ClientBlocks.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::uint32_t noPlace = 0;
-constexpr int bitsOfIpv6 = 128;
-constexpr int bitsOfIpv4 = 32;
+constexpr std::uint32_t noLocation = 0;
+constexpr int ipv6Bits = 128;
+constexpr int ipv4Bits = 32;
 constexpr std::uint64_t mappedIpv4Marker = 0xffffULL << 32;
 
 std::uint64_t bigEndian(const unsigned char *bytes, int count)
@@ -34,49 +34,49 @@
 
 } // namespace
 
-std::optional<ClientBlocks::Number> ClientBlocks::numberOf(const std::string &host)
+std::optional<ClientBlocks::IpAddress> ClientBlocks::ipAddressFromText(const std::string &host)
 {
     unsigned char bytes[16];
     if (inet_pton(AF_INET, host.c_str(), bytes) == 1)
-        return Number{0, mappedIpv4Marker | bigEndian(bytes, 4)};
+        return IpAddress{0, mappedIpv4Marker | bigEndian(bytes, 4)};
     if (inet_pton(AF_INET6, host.c_str(), bytes) == 1)
-        return Number{bigEndian(bytes, 8), bigEndian(bytes + 8, 8)};
+        return IpAddress{bigEndian(bytes, 8), bigEndian(bytes + 8, 8)};
     return std::nullopt;
 }
 
 std::optional<ClientBlocks::Block> ClientBlocks::blockFromText(const std::string &text)
 {
     const auto slash = text.find('/');
-    const auto number = numberOf(text.substr(0, slash));
-    if (slash == std::string::npos || !number)
+    const auto address = ipAddressFromText(text.substr(0, slash));
+    if (slash == std::string::npos || !address)
         return std::nullopt;
     int length = 0;
     const char *end = text.data() + text.size();
     const auto [rest, error] = std::from_chars(text.data() + slash + 1, end, length);
-    const int bits = text.find(':') == std::string::npos ? bitsOfIpv4 : bitsOfIpv6;
+    const int bits = text.find(':') == std::string::npos ? ipv4Bits : ipv6Bits;
     if (error != std::errc() || rest != end || length < 0 || length > bits)
         return std::nullopt;
 
     const int freeBits = bits - length;
     Block block;
-    block.first_ = {number->high_ & ~lowBits(freeBits - 64), number->low_ & ~lowBits(freeBits)};
-    block.last_ = {number->high_ | lowBits(freeBits - 64), number->low_ | lowBits(freeBits)};
+    block.first_ = {address->high_ & ~lowBits(freeBits - 64), address->low_ & ~lowBits(freeBits)};
+    block.last_ = {address->high_ | lowBits(freeBits - 64), address->low_ | lowBits(freeBits)};
     return block;
 }
 
-ClientBlocks::Number ClientBlocks::successor(Number number)
+ClientBlocks::IpAddress ClientBlocks::successor(IpAddress address)
 {
-    ++number.low_;
-    if (number.low_ == 0)
-        ++number.high_;
-    return number;
+    ++address.low_;
+    if (address.low_ == 0)
+        ++address.high_;
+    return address;
 }
 
 std::optional<ClientBlocks> ClientBlocks::build(const std::string &text)
 {
     ClientBlocks result;
-    result.places_.emplace_back();
-    std::map<BlockPlace, std::uint32_t> placeNumbers;
+    result.locations_.emplace_back();
+    std::map<BlockLocation, std::uint32_t> locationIndexes;
     std::vector<Block> blocks;
     std::istringstream lines(text);
     std::size_t lineNumber = 0;
@@ -94,12 +94,12 @@
             return fail(ResultCode::MalformedText,
                         "line " + std::to_string(lineNumber) + ": '" + line + "'");
         }
-        const BlockPlace place{RegionId(region), FailureDomainId(domain)};
-        const auto next = static_cast<std::uint32_t>(result.places_.size());
-        const auto [known, isNew] = placeNumbers.try_emplace(place, next);
+        const BlockLocation location{RegionId(region), FailureDomainId(domain)};
+        const auto next = static_cast<std::uint32_t>(result.locations_.size());
+        const auto [known, isNew] = locationIndexes.try_emplace(location, next);
         if (isNew)
-            result.places_.push_back(place);
-        block->place_ = known->second;
+            result.locations_.push_back(location);
+        block->location_ = known->second;
         blocks.push_back(*block);
     }
     result.blockCount_ = blocks.size();
@@ -109,46 +109,48 @@
 
 void ClientBlocks::flatten(std::vector<Block> blocks)
 {
-    // Outer blocks come before the blocks inside them, so a stack holds the blocks around a point.
+    // Outer blocks sort before the blocks inside them, so a stack holds the blocks around an
+    // address.
     std::sort(blocks.begin(), blocks.end(), [](const Block &a, const Block &b) {
         return a.first_ != b.first_ ? a.first_ < b.first_ : a.last_ > b.last_;
     });
     std::vector<Block> around;
-    const auto put = [&](Number first, std::uint32_t place) {
-        if (!stretches_.empty() && stretches_.back().first_ == first) {
-            stretches_.back().place_ = place;
+    const auto put = [&](IpAddress first, std::uint32_t location) {
+        if (!ranges_.empty() && ranges_.back().first_ == first) {
+            ranges_.back().location_ = location;
         } else {
-            stretches_.push_back({first, place});
+            ranges_.push_back({first, location});
         }
     };
-    const auto closeUpTo = [&](const Number *limit) {
+    const auto closeUpTo = [&](const IpAddress *limit) {
         while (!around.empty() && (!limit || around.back().last_ < *limit)) {
-            const Number next = successor(around.back().last_);
+            const IpAddress next = successor(around.back().last_);
             around.pop_back();
-            put(next, around.empty() ? noPlace : around.back().place_);
+            put(next, around.empty() ? noLocation : around.back().location_);
         }
     };
-    put(Number{0, 0}, noPlace);
+    put(IpAddress{0, 0}, noLocation);
     for (const auto &block : blocks) {
         closeUpTo(&block.first_);
-        put(block.first_, block.place_);
+        put(block.first_, block.location_);
         around.push_back(block);
     }
     closeUpTo(nullptr);
-    stretches_.shrink_to_fit();
+    ranges_.shrink_to_fit();
 }
 
-const BlockPlace *ClientBlocks::placeOf(const std::string &host) const
+const BlockLocation *ClientBlocks::placeOf(const std::string &host) const
 {
-    const auto number = numberOf(host);
-    if (!number || stretches_.empty())
+    const auto address = ipAddressFromText(host);
+    if (!address || ranges_.empty())
         return nullptr;
-    const auto after = std::upper_bound(stretches_.begin(), stretches_.end(), *number,
-                                        [](const Number &value, const Stretch &stretch) {
-                                            return value < stretch.first_;
-                                        });
-    const std::uint32_t place = std::prev(after)->place_;
-    return place == noPlace ? nullptr : &places_[place];
+    const auto after
+        = std::upper_bound(ranges_.begin(), ranges_.end(), *address,
+                           [](const IpAddress &value, const AddressRange &addressRange) {
+                               return value < addressRange.first_;
+                           });
+    const std::uint32_t location = std::prev(after)->location_;
+    return location == noLocation ? nullptr : &locations_[location];
 }
 
 } // namespace Model
--- a/Libraries/LibModel/ClientBlocks.h
+++ b/Libraries/LibModel/ClientBlocks.h
@@ -10,69 +10,69 @@
 
 namespace Model {
 
-/// Where a block of callers' IP numbers is.
-struct BlockPlace
+/// The location of a block of callers' IP addresses.
+struct BlockLocation
 {
     RegionId region_;
-    /// The failure domain near the callers; empty if none is.
+    /// The failure domain nearest to the callers; empty if there is none.
     FailureDomainId domain_;
 
-    auto operator<=>(const BlockPlace &) const = default;
+    auto operator<=>(const BlockLocation &) const = default;
 };
 
-/// The map from callers' IP numbers to places, as the object store keeps it.
+/// Maps callers' IP addresses to locations, as stored in the object store.
 ///
 /// Immutable after build(), so any number of threads may read it without a lock. Blocks may nest;
-/// the smallest block around a number wins.
+/// the smallest block that contains an address wins.
 class ClientBlocks
 {
 public:
-    /// Reads one block a line: "192.0.2.0/24 Primorska primorska-a", the failure domain being
-    /// optional; lines that begin with ';' and empty lines are passed over.
+    /// Parses one block per line: "192.0.2.0/24 Primorska primorska-a". The failure domain is
+    /// optional; lines that begin with ';' and empty lines are skipped.
     ///
-    /// Returns nothing, with MalformedText and the line as the last reason, for any other text.
-    /// Thread safety: any thread.
+    /// Returns std::nullopt, with MalformedText and the line as the last reason, for any other
+    /// text. Thread safety: any thread.
     static std::optional<ClientBlocks> build(const std::string &text);
 
-    /// Returns where \a host is, or nullptr if no block holds it or it is not an IP number. Takes
-    /// logarithmic time and no lock. Thread safety: any thread.
-    const BlockPlace *placeOf(const std::string &host) const;
+    /// Returns the location of \a host, or nullptr if no block contains it or it is not an IP
+    /// address. Takes logarithmic time and no lock. Thread safety: any thread.
+    const BlockLocation *placeOf(const std::string &host) const;
 
-    /// Returns the blocks that build() read.
+    /// Returns the number of blocks that build() parsed.
     std::size_t size() const { return blockCount_; }
 
 private:
-    /// An IPv6 number; IPv4 numbers are mapped into it.
-    struct Number
+    /// An IPv6 address; IPv4 addresses are mapped to IPv6.
+    struct IpAddress
     {
         std::uint64_t high_ = 0;
         std::uint64_t low_ = 0;
 
-        auto operator<=>(const Number &) const = default;
+        auto operator<=>(const IpAddress &) const = default;
     };
 
     struct Block
     {
-        Number first_;
-        Number last_;
-        std::uint32_t place_ = 0;
+        IpAddress first_;
+        IpAddress last_;
+        std::uint32_t location_ = 0;
     };
 
-    /// From here up to the next one everything is at one place.
-    struct Stretch
+    /// Addresses from `first_` up to the next range, all at one location.
+    struct AddressRange
     {
-        Number first_;
-        std::uint32_t place_ = 0;
+        IpAddress first_;
+        std::uint32_t location_ = 0;
     };
 
-    static std::optional<Number> numberOf(const std::string &host);
+    static std::optional<IpAddress> ipAddressFromText(const std::string &host);
     static std::optional<Block> blockFromText(const std::string &text);
-    static Number successor(Number number);
+    static IpAddress successor(IpAddress address);
     void flatten(std::vector<Block> blocks);
 
-    std::vector<Stretch> stretches_;
-    /// The first place stands for "no block".
-    std::vector<BlockPlace> places_;
+    std::vector<AddressRange> ranges_;
+    /// The first location stands for "no block".
+    std::vector<BlockLocation> locations_;
     std::size_t blockCount_ = 0;
 };
 
--- a/Libraries/LibModel/Columns.cpp
+++ b/Libraries/LibModel/Columns.cpp
@@ -20,7 +20,7 @@
      .minimum_ = 0,
      .maximum_ = 1000,
      .default_ = "100",
-     .meaning_ = "how much of the traffic that leaves another region comes here; 0 is none"},
+     .meaning_ = "weight of the region for traffic that leaves another region; 0 is none"},
 };
 
 const std::vector<Column> domainColumns = {
@@ -79,13 +79,13 @@
      .minimum_ = 0,
      .maximum_ = 1000000,
      .default_ = "0",
-     .meaning_ = "requests a second that a cold target bears, of all entries; 0 is no limit"},
+     .meaning_ = "requests a second that a cold target can take from all entries; 0 is no limit"},
     {.name_ = "connections",
      .type_ = Integer,
      .minimum_ = 1,
      .maximum_ = 1000000,
      .default_ = "400",
-     .meaning_ = "connections that a target which registers itself holds in all"},
+     .meaning_ = "total connections of a target that registers itself"},
 };
 
 const std::vector<Column> routeColumns = {
@@ -96,7 +96,7 @@
     {.name_ = "prefix",
      .type_ = Text,
      .required_ = true,
-     .meaning_ = "the beginning of the path, with a slash at both ends; the longest one wins"},
+     .meaning_ = "prefix of the path, with a slash at both ends; the longest one wins"},
     {.name_ = "services",
      .type_ = Text,
      .required_ = true,
@@ -162,19 +162,19 @@
      .minimum_ = 100,
      .maximum_ = 3600000,
      .default_ = "60000",
-     .meaning_ = "how long a caller's connection may rest between requests"},
+     .meaning_ = "how long a caller's connection may stay idle between requests"},
 };
 
 const std::vector<Column> classColumns = {
     {.name_ = "callers",
      .type_ = Text,
-     .meaning_ = "comma-separated beginnings of the callers' names; '*' is every other caller"},
+     .meaning_ = "comma-separated prefixes of the callers' names; '*' is every other caller"},
     {.name_ = "weight",
      .type_ = Number,
      .minimum_ = 1,
      .maximum_ = 1000,
      .default_ = "10",
-     .meaning_ = "share of the slots beside other classes while slots are short"},
+     .meaning_ = "share of the slots relative to other classes while slots are short"},
     {.name_ = "bulk",
      .type_ = YesNo,
      .default_ = "no",
@@ -219,7 +219,7 @@
      .minimum_ = 1,
      .maximum_ = 1000000,
      .default_ = "400",
-     .meaning_ = "connections that the target holds in all"},
+     .meaning_ = "total connections that the target accepts"},
 };
 
 std::optional<double> numberFromText(const std::string &text)
@@ -279,7 +279,7 @@
     case YesNo:
         return "yes or no";
     case Time:
-        return "a UTC time such as 2026-12-02T18:00:00Z, or nothing";
+        return "a UTC time such as 2026-12-02T18:00:00Z, or empty";
     case Text:
         return "printable text of at most 4096 characters";
     case ColumnType::Address:
--- a/Libraries/LibModel/Identifiers.h
+++ b/Libraries/LibModel/Identifiers.h
@@ -7,9 +7,9 @@
 
 namespace Model {
 
-/// A name that cannot be mistaken for a name of another kind.
+/// A string identifier that does not convert to an identifier of another kind.
 ///
-/// Thread safety: as std::string; distinct objects may be used from distinct threads.
+/// Thread safety: like std::string; distinct objects may be used from distinct threads.
 template <typename Tag>
 class StrongId
 {
--- a/Libraries/LibModel/Instance.h
+++ b/Libraries/LibModel/Instance.h
@@ -6,24 +6,24 @@
 
 namespace Model {
 
-/// Where the processes of one instance listen.
+/// The addresses on which the processes of an instance listen.
 struct InstanceAddresses
 {
-    /// Callers ask for an entry here.
+    /// Callers look up an entry here.
     Address lookup_;
     /// Callers send requests here.
     Address entry_;
-    /// Entries of other regions hand requests over here; internal headers are believed only here.
+    /// Entries of other regions forward requests here; internal headers are trusted only here.
     Address entryPeer_;
     /// Other instances' control processes exchange state here.
     Address control_;
-    /// Readout of the control process, for operators.
+    /// Admin endpoint of the control process, for operators.
     Address controlAdmin_;
 
     bool operator==(const InstanceAddresses &) const = default;
 };
 
-/// One of cassiacrank's own instances, as the platform's list or a peer names it.
+/// An instance of cassiacrank, as listed by the platform or reported by a peer.
 struct Instance
 {
     InstanceId id_;
--- a/Libraries/LibModel/LibModel.h
+++ b/Libraries/LibModel/LibModel.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// LibModel: ids, units, numbered results and the aggregates that hold their own rules.
+/// LibModel: identifiers, units, result codes and the validated domain types.
 /// This is the library's only public header.
 
 #include "Address.h"
--- a/Libraries/LibModel/ResultCode.h
+++ b/Libraries/LibModel/ResultCode.h
@@ -7,8 +7,8 @@
 
 namespace Model {
 
-/// Numbered results. The number is part of the interface: it is never given a new meaning.
-/// docs/result-codes.md holds the same table, and a test compares the two.
+/// Numbered results. The numbers are part of the interface; a number is never reused.
+/// docs/result-codes.md has the same table, and a test compares the two.
 enum class ResultCode {
     Ok = 0,
 
@@ -76,7 +76,7 @@
     PeerMessageUnreadable = 704,
 };
 
-/// One line of the table of result codes.
+/// An entry in the table of result codes.
 struct ResultCodeInfo
 {
     ResultCode code_;
@@ -96,7 +96,7 @@
 /// Returns the meaning of \a code in one sentence. Thread safety: any thread.
 std::string_view describe(ResultCode code);
 
-/// Why the latest call on this thread that returned an empty std::optional did so.
+/// Why the latest failed call on this thread returned an empty std::optional.
 struct Reason
 {
     ResultCode code_ = ResultCode::Ok;
@@ -105,8 +105,8 @@
 
 /// Returns the reason of the latest failure on the calling thread.
 ///
-/// Precondition: the call of interest returned an empty optional and nothing else ran on this
-/// thread since. Thread safety: each thread has its own reason.
+/// Precondition: the call of interest returned an empty optional and was the latest call on this
+/// thread. Thread safety: each thread has its own reason.
 const Reason &lastReason();
 
 /// Records why a call fails; meant for `return fail(code, detail);`.
@@ -114,7 +114,7 @@
 /// Thread safety: each thread has its own reason.
 std::nullopt_t fail(ResultCode code, std::string detail);
 
-/// Returns "[number] meaning: detail", the form in which users read a reason.
+/// Returns "[number] meaning detail", the form in which a reason is shown to users.
 ///
 /// Thread safety: any thread.
 std::string toText(const Reason &reason);
--- a/Libraries/LibModel/Route.cpp
+++ b/Libraries/LibModel/Route.cpp
@@ -73,7 +73,7 @@
     const auto prefixes = byHost_.find(host);
     if (prefixes == byHost_.end())
         return nullptr;
-    // Prefixes end with a slash, so only the parts of the path that do can match; longest first.
+    // Prefixes end with a slash, so only beginnings of the path that do can match; longest first.
     auto slash = path.rfind('/');
     while (slash != std::string_view::npos) {
         const auto found = prefixes->second.find(path.substr(0, slash + 1));
--- a/Libraries/LibModel/Route.h
+++ b/Libraries/LibModel/Route.h
@@ -11,7 +11,7 @@
 
 namespace Model {
 
-/// One of the services among which a route divides its requests.
+/// A service that gets a weighted share of the requests of a route.
 struct RoutePart
 {
     ServiceId service_;
@@ -20,45 +20,45 @@
     bool operator==(const RoutePart &) const = default;
 };
 
-/// What becomes of requests for one host whose path begins with one prefix.
+/// How requests for one host with one path prefix are routed.
 struct Route
 {
     RouteId id_;
     std::string host_;
     std::string prefix_;
     std::vector<RoutePart> parts_;
-    /// A request may run more than once.
+    /// Whether a request may run more than once.
     bool isIdempotent_ = false;
-    /// Longest time that a request is kept waiting.
+    /// Maximum time that a request is kept waiting.
     Milliseconds timeout_{0};
     /// An answer within this time is worth most to the caller.
     Milliseconds latencyGoal_{0};
-    /// 0 goes first while slots are short.
+    /// Rank while slots are short; 0 goes first.
     int priority_ = 0;
-    /// Targets to which one request may be sent.
+    /// Maximum number of targets to which a request may be sent.
     int attempts_ = 1;
-    /// Requests for one object are best served by one target.
+    /// Whether requests for one object are best served by one target.
     bool hasAffinity_ = false;
-    /// Regions in which requests must stay; empty is all.
+    /// Regions in which requests must stay; empty allows all regions.
     std::vector<RegionId> allowedRegions_;
 };
 
-/// Reads "a" or "a:90, b:10".
+/// Parses "a" or "a:90, b:10".
 ///
-/// Returns nothing, with BadValue as the last reason, for any other text or if no weight is above
-/// zero. Thread safety: any thread.
+/// Returns std::nullopt, with BadValue as the last reason, for any other text or if no weight is
+/// above zero. Thread safety: any thread.
 std::optional<std::vector<RoutePart>> routePartsFromText(const std::string &text);
 
-/// Returns the form that routePartsFromText() reads. Thread safety: any thread.
+/// Returns the form that routePartsFromText() parses. Thread safety: any thread.
 std::string toText(const std::vector<RoutePart> &parts);
 
 /// Finds the route of a request by its host and the longest prefix of its path.
 ///
-/// Thread safety: any number of threads may read while none adds.
+/// Thread safety: any number of threads may read while no thread calls add().
 class RouteIndex
 {
 public:
-    /// Adds \a route. Of two routes with one host and prefix the last one counts.
+    /// Adds \a route. It replaces an earlier route with the same host and prefix in find().
     void add(Route route);
 
     /// Returns the route for \a path (without its query) at \a host, or nullptr.
--- a/Libraries/LibModel/Row.h
+++ b/Libraries/LibModel/Row.h
@@ -11,10 +11,10 @@
 
 namespace Model {
 
-/// What a row of the operators' table is about.
+/// The kind of a row in the operators' table.
 enum class RowKind { Region, Domain, Service, Class, Target, Route, Limits };
 
-/// Names one row, for example "service gauging".
+/// Identifies a row, for example "service gauging".
 struct RowKey
 {
     RowKind kind_ = RowKind::Region;
@@ -23,14 +23,14 @@
     auto operator<=>(const RowKey &) const = default;
 };
 
-/// A row as operators see it: the text of its cells by column.
+/// A row as operators see it: the texts of its cells by column.
 struct Row
 {
     RowKey key_;
     std::map<std::string, std::string> cells_;
-    /// The version of the table in which the row changed last; orders deltas between peers.
+    /// The version of the table in which the row last changed; orders deltas between peers.
     TableVersion changedAt_;
-    /// A deleted row is kept as a mark, so that a peer that still has it learns of the deletion.
+    /// Marks a tombstone: a deleted row is kept so that a peer that still has it deletes it too.
     bool deleted_ = false;
 
     bool operator==(const Row &) const = default;
@@ -39,14 +39,15 @@
 /// Returns "region", "domain", "service", "class", "target", "route" or "limits". Thread safety:
 /// any thread.
 std::string toText(RowKind kind);
-/// Returns "service gauging" and the like. Thread safety: any thread.
+/// Returns for example "service gauging". Thread safety: any thread.
 std::string toText(const RowKey &key);
-/// Reads what toText() wrote; UnknownRowKind or MalformedText as the last reason otherwise.
+/// Parses the form that toText() returns. Returns std::nullopt, with UnknownRowKind or
+/// MalformedText as the last reason, for any other text.
 ///
 /// Thread safety: any thread.
 std::optional<RowKey> rowKeyFromText(const std::string &text);
 
-/// What is wrong with one cell, in the words that an operator needs to mend it.
+/// An error in a cell, with what an operator needs to correct it.
 struct CellError
 {
     ResultCode code_ = ResultCode::BadValue;
--- a/Libraries/LibModel/Table.cpp
+++ b/Libraries/LibModel/Table.cpp
@@ -111,8 +111,9 @@
     const std::string services = cellOrDefault(row, "services");
     const auto parts = routePartsFromText(services);
     if (!parts) {
-        errors.push_back({ResultCode::BadValue, row.key_, "services", services,
-                          "a service, or services with weights above 0 in all, as in a:90, b:10"});
+        errors.push_back(
+            {ResultCode::BadValue, row.key_, "services", services,
+             "a service, or services with a sum of weights above 0, as in a:90, b:10"});
         return;
     }
     for (const auto &part : *parts) {
@@ -259,7 +260,7 @@
 
 namespace {
 
-/// Finds by id in a vector that is sorted by id, as rows of one kind are.
+/// Finds an item by id. Precondition: \a items is sorted by id, as rows of one kind are.
 template <typename Item, typename Id>
 const Item *findSorted(const std::vector<Item> &items, const Id &id)
 {
@@ -311,10 +312,10 @@
     std::size_t bestLength = 0;
     for (const auto &callerClass : classes_) {
         for (const auto &prefix : callerClass.callerPrefixes_) {
-            const bool isForAll = prefix == "*";
-            if (!isForAll && !caller.value().starts_with(prefix))
+            const bool isWildcard = prefix == "*";
+            if (!isWildcard && !caller.value().starts_with(prefix))
                 continue;
-            const std::size_t length = isForAll ? 0 : prefix.size();
+            const std::size_t length = isWildcard ? 0 : prefix.size();
             if (best && length <= bestLength)
                 continue;
             best = &callerClass;
--- a/Libraries/LibModel/Table.h
+++ b/Libraries/LibModel/Table.h
@@ -39,13 +39,13 @@
     SharePerSecond regionShiftCap_;
     bool isIdempotent_ = false;
     Share useLimit_;
-    /// What a cold target bears from all entries together; zero means no limit.
+    /// Rate that a cold target can take from all entries together; zero means no limit.
     RequestsPerSecond coldLimit_;
-    /// Connections of a target that registers itself, from all entries together.
+    /// Total connections from all entries to a target that registers itself.
     int connections_ = 0;
 };
 
-/// What callers may send, and how long they may take over it.
+/// Limits on the size and duration of callers' requests.
 struct CallerLimits
 {
     std::size_t headBytes_ = 16384;
@@ -77,7 +77,7 @@
     int connections_ = 0;
 };
 
-/// A part of the traffic of one origin that one failure domain gets.
+/// The share of one origin's traffic that a failure domain gets.
 struct DomainShare
 {
     FailureDomainId domain_;
@@ -86,11 +86,11 @@
     bool operator==(const DomainShare &) const = default;
 };
 
-/// Where the traffic of one service and origin stood when an edit moved its goal.
+/// The shares of one service and origin at the time when an edit changed their goal.
 ///
-/// It is written in the edit's own transaction. Without it, two instances that learn of an edit at
-/// different times, or one that starts in the middle of a shift, would each begin the shift
-/// elsewhere, and their sum would pass the cap.
+/// It is written in the transaction of the edit. Without it, instances that learn of an edit at
+/// different times, or that start in the middle of a shift, would begin the shift from different
+/// shares, and the sum of their shifts would exceed the cap.
 struct ShiftStart
 {
     ServiceId service_;
@@ -102,24 +102,24 @@
     bool operator==(const ShiftStart &) const = default;
 };
 
-/// The operators' table, whole and checked: an object of this class is always consistent.
+/// The complete, validated operators' table. An object of this class is always consistent.
 ///
 /// Immutable after build(), so any number of threads may read it without a lock.
 class Table
 {
 public:
-    /// Returns every mistake in \a rows, deleted rows aside; none means that build() succeeds.
+    /// Returns every mistake in \a rows, ignoring deleted rows. If it is empty, build() succeeds.
     ///
     /// Thread safety: any thread.
     static std::vector<CellError> check(const std::vector<Row> &rows);
 
-    /// Builds a table from \a rows. Returns nothing if check() finds a mistake; the last reason
-    /// then holds the first mistake. Thread safety: any thread.
+    /// Builds a table from \a rows. Returns std::nullopt if check() finds a mistake; the last
+    /// reason then holds the first mistake. Thread safety: any thread.
     static std::optional<Table> build(TableVersion version, std::vector<Row> rows,
                                       std::vector<ShiftStart> shiftStarts);
 
     TableVersion version() const { return version_; }
-    /// All rows, deleted ones included, sorted by key.
+    /// Returns all rows, including deleted ones, sorted by key.
     const std::vector<Row> &rows() const { return rows_; }
     const std::vector<Region> &regions() const { return regions_; }
     const std::vector<FailureDomain> &domains() const { return domains_; }
@@ -130,18 +130,18 @@
     const CallerLimits &callerLimits() const { return callerLimits_; }
     const std::vector<ShiftStart> &shiftStarts() const { return shiftStarts_; }
 
-    /// Each returns nullptr where the table has no such row. Thread safety: any thread.
+    /// Each returns nullptr if the table has no such row. Thread safety: any thread.
     const Service *service(const ServiceId &id) const;
     const FailureDomain *domain(const FailureDomainId &id) const;
     const Region *region(const RegionId &id) const;
     const Row *row(const RowKey &key) const;
     const ShiftStart *shiftStart(const ServiceId &service, const RegionId &origin) const;
 
-    /// Returns the class of \a caller: the longest matching beginning of its name wins, then the
-    /// class for every other caller, else nullptr. Thread safety: any thread.
+    /// Returns the class with the longest matching prefix of the name of \a caller, else the class
+    /// for every other caller, else nullptr. Thread safety: any thread.
     const CallerClass *classOf(const CallerId &caller) const;
 
-    /// Returns the slots of \a service in \a domain. Thread safety: any thread.
+    /// Returns the total slots of \a service in \a domain. Thread safety: any thread.
     Slots slotsIn(const ServiceId &service, const FailureDomainId &domain) const;
 
 private:
--- a/Libraries/LibModel/TableText.cpp
+++ b/Libraries/LibModel/TableText.cpp
@@ -28,10 +28,10 @@
     for (const auto &[column, value] : after.cells_)
         columns.insert(column);
     for (const auto &column : columns) {
-        const auto old = before.cells_.find(column);
-        const auto fresh = after.cells_.find(column);
-        const std::string oldValue = old == before.cells_.end() ? "" : old->second;
-        const std::string newValue = fresh == after.cells_.end() ? "" : fresh->second;
+        const auto previous = before.cells_.find(column);
+        const auto current = after.cells_.find(column);
+        const std::string oldValue = previous == before.cells_.end() ? "" : previous->second;
+        const std::string newValue = current == after.cells_.end() ? "" : current->second;
         if (oldValue != newValue)
             changes.push_back({after.key_, column, oldValue, newValue});
     }
@@ -45,7 +45,7 @@
     return text;
 }
 
-/// Returns the names in the section heads of an INI text.
+/// Returns the names in the section headers of an INI text.
 std::vector<std::string> sectionsOf(const std::string &text)
 {
     std::vector<std::string> sections;
@@ -60,8 +60,8 @@
     return sections;
 }
 
-/// Adds the rows without cells: Boost.PropertyTree drops sections without keys, and an operator's
-/// row whose cells are all at their defaults would vanish without a word.
+/// Adds the rows without cells. Boost.PropertyTree drops sections without keys, so without this an
+/// operator's row with only default cells would be lost silently.
 bool addRowsWithoutCells(const std::string &text, std::vector<Row> &rows)
 {
     std::set<std::string> seen;
@@ -102,7 +102,7 @@
     std::vector<Row> rows;
     for (const auto &[section, cells] : tree) {
         if (!cells.data().empty())
-            return fail(ResultCode::MalformedText, "cell '" + section + "' stands before any row");
+            return fail(ResultCode::MalformedText, "cell '" + section + "' is outside any row");
         const auto key = rowKeyFromText(section);
         if (!key)
             return std::nullopt;
--- a/Libraries/LibModel/TargetRecord.h
+++ b/Libraries/LibModel/TargetRecord.h
@@ -6,10 +6,10 @@
 
 namespace Model {
 
-/// What a target that registers itself says of one of its runs.
+/// The registration of one incarnation of a target that registers itself.
 ///
-/// Another target at the same address has another id; another run of the same one may have this id
-/// too, and then a later incarnation.
+/// Another target at the same address has a different id. A restarted target may keep its id and
+/// then has a later incarnation.
 struct TargetRecord
 {
     TargetId id_;
@@ -17,14 +17,15 @@
     FailureDomainId domain_;
     Address address_;
     Slots slots_;
-    /// It takes work for a short while only, and gets no new work.
+    /// Whether the target is leaving: it accepts work only for a short time and gets no new work.
     bool isLeaving_ = false;
-    /// When this run of the target started; a later run of the same id has a higher one. Zero where
-    /// the target does not say.
+    /// Start time of this incarnation; a later incarnation of the same id has a higher one. Zero if
+    /// the target does not report it.
     Incarnation incarnation_;
-    /// How many reports this run had made by then.
+    /// Number of reports that this incarnation has made so far.
     std::uint64_t reports_ = 0;
-    /// How much longer it works slowly and bears only a limited rate, from when this was learned.
+    /// Remaining time, from receipt of this record, in which the target is slow and can take only a
+    /// limited rate.
     Milliseconds coldFor_{0};
 
     bool operator==(const TargetRecord &) const = default;
--- a/Libraries/LibModel/Units.h
+++ b/Libraries/LibModel/Units.h
@@ -6,7 +6,7 @@
 
 namespace Model {
 
-/// A count of one kind, which cannot be mistaken for a count of another kind.
+/// A number that does not convert to a number of another kind.
 ///
 /// Thread safety: a plain value.
 template <typename Tag, typename Representation>
@@ -39,26 +39,26 @@
     Representation value_ = 0;
 };
 
-/// Grows by one with each accepted edit of the table.
+/// Increases by one with each accepted edit of the table.
 using TableVersion = StrongNumber<struct TableVersionTag, std::uint64_t>;
-/// Requests that a target can work on at the same time.
+/// Number of requests that a target can process at the same time.
 using Slots = StrongNumber<struct SlotsTag, std::int64_t>;
-/// A part of the traffic of one origin, from 0 to 1.
+/// A fraction of the traffic of one origin, from 0 to 1.
 using Share = StrongNumber<struct ShareTag, double>;
-/// A part of the traffic that may move in one second, from 0 to 1.
+/// The fraction of the traffic that may move in one second, from 0 to 1.
 using SharePerSecond = StrongNumber<struct SharePerSecondTag, double>;
 using RequestsPerSecond = StrongNumber<struct RequestsPerSecondTag, double>;
 using Weight = StrongNumber<struct WeightTag, double>;
-/// Tells one run of a process from an earlier run at the same address.
+/// Distinguishes a run of a process from earlier runs at the same address.
 using Incarnation = StrongNumber<struct IncarnationTag, std::uint64_t>;
 
 using Milliseconds = std::chrono::milliseconds;
 using Microseconds = std::chrono::microseconds;
-/// A wall-clock time, to a millisecond, in UTC.
+/// A wall-clock time in UTC with millisecond resolution.
 using WallTime = std::chrono::time_point<std::chrono::system_clock, Milliseconds>;
-/// A time of a clock that never goes back; used for deadlines and ages.
+/// A time of a monotonic clock; used for deadlines and ages.
 using SteadyTime = std::chrono::steady_clock::time_point;
-/// Stands for "never so far" among steady times: the clock may have begun with the process.
+/// A steady time that means "never". It is negative because the clock may start with the process.
 constexpr SteadyTime longAgo{-std::chrono::hours(24)};
 
 /// Returns the seconds in \a duration as a floating-point number.
--- a/Libraries/LibObserve/Audit.h
+++ b/Libraries/LibObserve/Audit.h
@@ -8,7 +8,7 @@
 
 namespace Observe {
 
-/// Who changed what in the table and when; written in the transaction of the edit itself.
+/// Records who changed what in the table and when; written in the transaction of the edit.
 struct AuditRecord
 {
     Model::TableVersion version_;
@@ -20,8 +20,8 @@
     bool operator==(const AuditRecord &) const = default;
 };
 
-/// Returns the form in which the store keeps a record; auditFromText() reads it back and returns
-/// nothing, with PlatformBadAnswer as the last reason, for any other text.
+/// Serializes a record for the store. auditFromText() parses that form and returns std::nullopt,
+/// with PlatformBadAnswer as the last reason, for any other text.
 ///
 /// Thread safety: any thread.
 std::string toText(const AuditRecord &record);
--- a/Libraries/LibObserve/Daemon.cpp
+++ b/Libraries/LibObserve/Daemon.cpp
@@ -28,7 +28,7 @@
 } // namespace
 
 DaemonStart startDaemon(int argc, char **argv, const std::string &purpose, SettingUse use,
-                        const std::string &usualPath)
+                        const std::string &defaultPath)
 {
     blockStopSignals();
     const std::string help
@@ -38,19 +38,19 @@
             "2 bad settings, 3 bad usage, 4 cannot listen.";
     if (showHelpIfAsked(argc, argv, help, "LibObserve/Daemon"))
         return {std::nullopt, ExitCode::Ok, ""};
-    // Dashes are what users type; gflags knows names with underscores.
+    // Users type dashes; gflags only accepts names with underscores.
     for (int i = 1; i < argc; ++i) {
         if (std::string(argv[i]) == "--check-settings")
             argv[i] = const_cast<char *>("--check_settings");
     }
     gflags::ParseCommandLineFlags(&argc, &argv, true);
-    // The daemons run on instances without disks: the log goes to standard error.
+    // Instances have no disks, so the log goes to standard error.
     FLAGS_logtostderr = true;
     google::InitGoogleLogging(argv[0]);
 
-    const std::string path = FLAGS_settings.empty() ? usualPath : FLAGS_settings;
+    const std::string path = FLAGS_settings.empty() ? defaultPath : FLAGS_settings;
     if (path.empty()) {
-        std::cerr << "--settings FILE is needed; --help tells more\n";
+        std::cerr << "--settings FILE is required; see --help\n";
         return {std::nullopt, ExitCode::BadUsage, path};
     }
     auto check = settingsFromFile(path, use);
@@ -70,11 +70,11 @@
 bool showHelpIfAsked(int argc, char **argv, const std::string &help, const std::string &flagFile)
 {
     gflags::SetUsageMessage(help);
-    const bool isAsked = std::any_of(argv + 1, argv + argc, [](const char *argument) {
+    const bool isHelpRequested = std::any_of(argv + 1, argv + argc, [](const char *argument) {
         const std::string text = argument;
         return text == "--help" || text == "-help" || text == "-h";
     });
-    if (!isAsked)
+    if (!isHelpRequested)
         return false;
     std::cout << help << "\n\nFlags:\n";
     std::vector<gflags::CommandLineFlagInfo> flags;
--- a/Libraries/LibObserve/Daemon.h
+++ b/Libraries/LibObserve/Daemon.h
@@ -10,26 +10,25 @@
 /// Exit codes of all binaries; docs/settings.md lists them.
 enum class ExitCode { Ok = 0, Failed = 1, BadSettings = 2, BadUsage = 3, ListenFailed = 4 };
 
-/// What the start of a daemon led to: settings to go on with, or the code to exit with.
+/// The result of startDaemon(): the settings to run with, or the code to exit with.
 struct DaemonStart
 {
     std::optional<Settings> settings_;
     ExitCode exitCode_ = ExitCode::Ok;
-    /// Where the settings were read from.
+    /// The path of the settings file.
     std::string path_;
 };
 
 /// Reads the command line (--settings, --check-settings, --help), sets up the log, and reads and
-/// checks the settings that \a use names. Stop signals are blocked from then on, as by
-/// blockStopSignals(): one that comes while a process starts would else end it with a failure. \a
-/// purpose is the first line of the help; \a usualPath is where the settings are if the command
-/// line does not say.
+/// checks the settings for \a use. Stop signals stay blocked, as by blockStopSignals(): without
+/// that, a signal during the start would end the process with a failure. \a purpose is the first
+/// line of the help; \a defaultPath is the settings file if the command line names none.
 ///
 /// Precondition: called once, first in main(). Thread safety: none.
 DaemonStart startDaemon(int argc, char **argv, const std::string &purpose,
-                        SettingUse use = SettingUse::Daemons, const std::string &usualPath = "");
+                        SettingUse use = SettingUse::Daemons, const std::string &defaultPath = "");
 
-/// Prints \a help and the flags defined in the source file whose path holds \a flagFile, if the
+/// Prints \a help and the flags defined in the source file whose path contains \a flagFile, if the
 /// command line asks for help. Returns whether it did. Thread safety: none.
 bool showHelpIfAsked(int argc, char **argv, const std::string &help, const std::string &flagFile);
 
@@ -38,11 +37,11 @@
 /// Precondition: startDaemon() or blockStopSignals() was called before any thread was started.
 void waitForStopSignal();
 
-/// Keeps stop signals from ending the process, in this thread and those that it starts later.
+/// Blocks stop signals in this thread and in the threads that it starts later.
 void blockStopSignals();
 
-/// Lets this thread take stop signals, for a process that handles them itself; one that came
-/// meanwhile is taken at once. Precondition: a handler is set. Thread safety: any thread.
+/// Unblocks stop signals in this thread, for a process that handles them itself; a pending signal
+/// is delivered immediately. Precondition: a handler is installed. Thread safety: any thread.
 void takeStopSignals();
 
 } // namespace Observe
--- a/Libraries/LibObserve/DecisionLog.cpp
+++ b/Libraries/LibObserve/DecisionLog.cpp
@@ -8,15 +8,15 @@
 
 namespace {
 
-/// A write of at most so many bytes to a pipe that poll() calls writable does not block.
-constexpr std::size_t safeWrite = PIPE_BUF;
+/// A write of up to this size to a pipe that poll() reports as writable does not block.
+constexpr std::size_t maxNonBlockingWriteBytes = PIPE_BUF;
 
 Model::WallTime wallNow()
 {
     return std::chrono::time_point_cast<Model::Milliseconds>(std::chrono::system_clock::now());
 }
 
-bool takesMore(int descriptor)
+bool isWritable(int descriptor)
 {
     pollfd entry{descriptor, POLLOUT, 0};
     return poll(&entry, 1, 0) == 1 && (entry.revents & POLLOUT) != 0;
@@ -24,9 +24,9 @@
 
 } // namespace
 
-DecisionLog::DecisionLog(int descriptor, std::size_t mostBuffered)
+DecisionLog::DecisionLog(int descriptor, std::size_t maxBufferedBytes)
     : descriptor_(descriptor)
-    , mostBuffered_(mostBuffered)
+    , maxBufferedBytes_(maxBufferedBytes)
 {
 }
 
@@ -90,12 +90,12 @@
         beginSecond(now);
     Count &count = counts_[event];
     if (count.lines_ >= infoOf(event).linesPerSecond_) {
-        ++count.leftOut_;
-        ++leftOut_;
+        ++count.suppressed_;
+        ++suppressed_;
         return Line(nullptr, event, now);
     }
     ++count.lines_;
-    if (buffer_.size() >= mostBuffered_) {
+    if (buffer_.size() >= maxBufferedBytes_) {
         ++dropped_;
         return Line(nullptr, event, now);
     }
@@ -107,10 +107,10 @@
 {
     second_ = now;
     for (auto &[event, count] : counts_) {
-        if (count.leftOut_ > 0 && buffer_.size() < mostBuffered_) {
+        if (count.suppressed_ > 0 && buffer_.size() < maxBufferedBytes_) {
             Line line(this, Event::LinesLeftOut, now);
             line.add("of", infoOf(event).name_);
-            line.add("count", static_cast<std::int64_t>(count.leftOut_));
+            line.add("count", static_cast<std::int64_t>(count.suppressed_));
         }
         count = Count();
     }
@@ -119,8 +119,8 @@
 void DecisionLog::flush()
 {
     std::size_t done = 0;
-    while (done < buffer_.size() && takesMore(descriptor_)) {
-        const std::size_t size = std::min(safeWrite, buffer_.size() - done);
+    while (done < buffer_.size() && isWritable(descriptor_)) {
+        const std::size_t size = std::min(maxNonBlockingWriteBytes, buffer_.size() - done);
         const ssize_t count = ::write(descriptor_, buffer_.data() + done, size);
         if (count <= 0)
             break;
--- a/Libraries/LibObserve/DecisionLog.h
+++ b/Libraries/LibObserve/DecisionLog.h
@@ -11,20 +11,20 @@
 
 namespace Observe {
 
-/// Writes one structured line (logfmt) to standard output for each decision that touches a request
-/// or changes what the process believes.
+/// Writes a structured line (logfmt) for each decision that affects a request or changes the state
+/// of the process.
 ///
-/// The lines of an event are bounded for each second, and what was left out is counted in a line of
-/// its own, so that overload does not make the log a load of its own. Lines are gathered and
-/// written by flush(); where nobody reads the output, they are dropped and counted, never waited
-/// for. Thread safety: none; belongs to one thread.
+/// Lines are rate-limited for each event, and the suppressed ones are counted in a line of their
+/// own, so that logging does not add to an overload. Lines are buffered and written by flush(),
+/// which never blocks: if the output is not read, lines are dropped and counted. Thread safety:
+/// none; belongs to one thread.
 class DecisionLog
 {
 public:
-    /// \a descriptor is where lines go; bytes beyond \a mostBuffered are dropped.
-    explicit DecisionLog(int descriptor, std::size_t mostBuffered = 64 * 1024);
+    /// Writes to \a descriptor. Drops new lines while at least \a maxBufferedBytes are buffered.
+    explicit DecisionLog(int descriptor, std::size_t maxBufferedBytes = 64 * 1024);
 
-    /// One line that is being written. It ends with the object.
+    /// A line that is being written. The destructor ends it.
     class Line
     {
     public:
@@ -42,19 +42,20 @@
         Line &add(std::string_view name, Model::Microseconds value);
 
     private:
-        /// Nothing where the line is left out.
+        /// nullptr if the line is suppressed or dropped.
         DecisionLog *log_;
     };
 
-    /// Begins a line. Where the event has used up its lines of this second, the line takes what is
-    /// added and is left out.
+    /// Begins a line. If the event has reached its limit for this second, the returned line
+    /// discards what is added to it.
     Line line(Event event);
 
-    /// Writes what was gathered, as far as the descriptor takes it at once.
+    /// Writes as much of the buffer as the descriptor accepts without blocking.
     void flush();
 
-    /// Lines that were left out for the bound or dropped because nobody reads, since the start.
-    std::uint64_t leftOut() const { return leftOut_; }
+    /// Returns the number of lines suppressed by the rate limit since the start.
+    std::uint64_t leftOut() const { return suppressed_; }
+    /// Returns the number of lines dropped because the buffer was full.
     std::uint64_t dropped() const { return dropped_; }
     std::uint64_t written() const { return written_; }
 
@@ -62,17 +63,17 @@
     struct Count
     {
         int lines_ = 0;
-        int leftOut_ = 0;
+        int suppressed_ = 0;
     };
 
     void beginSecond(Model::WallTime now);
 
     int descriptor_;
-    std::size_t mostBuffered_;
+    std::size_t maxBufferedBytes_;
     std::string buffer_;
     std::map<Event, Count> counts_;
     Model::WallTime second_;
-    std::uint64_t leftOut_ = 0;
+    std::uint64_t suppressed_ = 0;
     std::uint64_t dropped_ = 0;
     std::uint64_t written_ = 0;
 };
--- a/Libraries/LibObserve/Event.h
+++ b/Libraries/LibObserve/Event.h
@@ -6,8 +6,8 @@
 
 namespace Observe {
 
-/// Numbered log events. The number is part of the interface: it is never given a new meaning.
-/// docs/events.md holds the same table, and a test compares the two.
+/// Numbered log events. The numbers are part of the interface; a number is never reused.
+/// docs/events.md has the same table, and a test compares the two.
 enum class Event {
     Started = 1001,
     Ready = 1002,
@@ -69,33 +69,33 @@
 
 enum class Severity { Info, Warning, Error };
 
-/// One line of the catalogue of events.
+/// An entry in the catalogue of events.
 struct EventInfo
 {
     Event event_;
     Severity severity_;
     std::string_view name_;
     std::string_view meaning_;
-    /// Lines that a process writes of it in a second, at the most, in its decision log.
+    /// Maximum number of lines of this event per second in the decision log of a process.
     int linesPerSecond_ = 20;
 };
 
 /// Returns the whole catalogue in ascending order. Thread safety: any thread.
 const std::vector<EventInfo> &events();
 
-/// Returns the line of the catalogue for \a event. Thread safety: any thread.
+/// Returns the catalogue entry for \a event. Thread safety: any thread.
 const EventInfo &infoOf(Event event);
 
-/// One name and value of a logged event.
+/// A named value of a logged event.
 struct Field
 {
     std::string_view name_;
     std::string value_;
 };
 
-/// Writes one line "[number name] field=value ..." to the log.
+/// Writes a line "[number name] field=value ..." to the log.
 ///
-/// Thread safety: any thread; may block on the log's file, so it is not called for each request.
+/// Thread safety: any thread. May block on the log file, so it must not be called per request.
 void logEvent(Event event, const std::vector<Field> &fields = {});
 
 } // namespace Observe
--- a/Libraries/LibObserve/LibObserve.h
+++ b/Libraries/LibObserve/LibObserve.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// LibObserve: numbered events, metrics, audit records, checked settings and the start of a daemon.
+/// LibObserve: numbered events, metrics, audit records, validated settings and daemon start-up.
 /// This is the library's only public header.
 
 #include "Audit.h"
 #include "Daemon.h"
 #include "DecisionLog.h"
 #include "Event.h"
-#include "LogStory.h"
 #include "Metrics.h"
+#include "RequestTrace.h"
 #include "Settings.h"
--- a/Libraries/LibObserve/Metrics.cpp
+++ b/Libraries/LibObserve/Metrics.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr double microsecondsInASecond = 1e6;
+constexpr double microsecondsPerSecond = 1e6;
 
 std::string numberText(double value)
 {
@@ -62,7 +62,7 @@
     return Model::Microseconds(static_cast<long long>(accumulators::max(accumulator_)));
 }
 
-void MetricsText::addHead(std::string_view name, std::string_view help, std::string_view type)
+void MetricsText::addHeader(std::string_view name, std::string_view help, std::string_view type)
 {
     if (std::find(described_.begin(), described_.end(), name) != described_.end())
         return;
@@ -74,7 +74,7 @@
 void MetricsText::add(std::string_view name, std::string_view help, std::string_view type,
                       double value, std::string_view labels)
 {
-    addHead(name, help, type);
+    addHeader(name, help, type);
     text_ += std::string(name);
     if (!labels.empty())
         text_ += "{" + std::string(labels) + "}";
@@ -87,14 +87,14 @@
     const std::string base(name);
     const std::string prefix = labels.empty() ? "" : std::string(labels) + ",";
     const std::string braced = labels.empty() ? "" : "{" + std::string(labels) + "}";
-    addHead(name, help, "summary");
+    addHeader(name, help, "summary");
     for (double probability : DurationSummary::quantileProbabilities()) {
         const auto value = static_cast<double>(summary.quantile(probability).count());
         text_ += base + "{" + prefix + "quantile=\"" + numberText(probability) + "\"} "
-                 + numberText(value / microsecondsInASecond) + "\n";
+                 + numberText(value / microsecondsPerSecond) + "\n";
     }
     const auto total = static_cast<double>(summary.sum().count());
-    text_ += base + "_sum" + braced + " " + numberText(total / microsecondsInASecond) + "\n";
+    text_ += base + "_sum" + braced + " " + numberText(total / microsecondsPerSecond) + "\n";
     text_ += base + "_count" + braced + " " + std::to_string(summary.count()) + "\n";
 }
 
--- a/Libraries/LibObserve/Metrics.h
+++ b/Libraries/LibObserve/Metrics.h
@@ -14,10 +14,10 @@
 
 namespace Observe {
 
-/// Count, sum, greatest value and quantiles of a duration since the process began.
+/// Count, sum, maximum and quantiles of a duration since the start of the process.
 ///
-/// Thread safety: none; each thread keeps its own, so that a request takes no shared lock. A
-/// readout asks each thread for its text.
+/// Thread safety: none; each thread has its own, so that a request takes no shared lock. A scrape
+/// collects the text of each thread.
 class DurationSummary
 {
 public:
@@ -41,13 +41,13 @@
     Accumulator accumulator_;
 };
 
-/// Collects the text of a readout in the Prometheus format.
+/// Builds a metrics page in the Prometheus text format.
 ///
 /// Thread safety: none; used by one thread at a time.
 class MetricsText
 {
 public:
-    /// Adds one value. \a labels is empty or like `service="gauging",thread="0"`.
+    /// Adds a value. \a labels is empty or like `service="gauging",thread="0"`.
     void add(std::string_view name, std::string_view help, std::string_view type, double value,
              std::string_view labels = {});
     /// Adds quantiles, sum and count of \a summary, in seconds.
@@ -56,7 +56,7 @@
     const std::string &text() const { return text_; }
 
 private:
-    void addHead(std::string_view name, std::string_view help, std::string_view type);
+    void addHeader(std::string_view name, std::string_view help, std::string_view type);
 
     std::string text_;
     std::vector<std::string> described_;
--- a/Libraries/LibObserve/LogStory.cpp
+++ b/Libraries/LibObserve/RequestTrace.cpp
@@ -1,4 +1,4 @@
-#include "LogStory.h"
+#include "RequestTrace.h"
 
 #include <algorithm>
 #include <charconv>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Events of an instance that may explain what became of a request there.
+/// Events of an instance that may explain the outcome of a request there.
 const std::set<std::string> &instanceEvents()
 {
     static const std::set<std::string> names
@@ -20,7 +20,8 @@
     return names;
 }
 
-/// The value that begins at \a at: up to the next space, or in quotes; \a at moves behind it.
+/// Returns the value that begins at \a at, up to the next space or in quotes, and moves \a at past
+/// it.
 std::string valueAt(const std::string &text, std::size_t &at)
 {
     std::string value;
@@ -42,8 +43,9 @@
     return found == line.fields_.end() ? "" : found->second;
 }
 
-/// What several instances log of the same change; empty for other lines.
-std::string changeOf(const LogLine &line)
+/// Returns the key of the change that a line reports, the same in the logs of all instances; empty
+/// for other lines.
+std::string changeKeyOf(const LogLine &line)
 {
     const std::string revision = fieldOf(line, "revision");
     if (!revision.empty())
@@ -73,7 +75,7 @@
     const auto [end, error] = std::from_chars(time.data(), time.data() + time.size(), milliseconds);
     line.name_ = fieldOf(line, "name");
     if (error != std::errc() || end != time.data() + time.size() || line.name_.empty())
-        return Model::fail(Model::ResultCode::MalformedText, "no line of a decision log");
+        return Model::fail(Model::ResultCode::MalformedText, "not a line of a decision log");
     line.at_ = Milliseconds(milliseconds);
     return line;
 }
@@ -86,13 +88,13 @@
     const std::string &reference = lines.front().source_;
     std::map<std::string, Milliseconds> seenAt;
     for (const auto &line : lines) {
-        if (line.source_ == reference && !changeOf(line).empty())
-            seenAt.emplace(changeOf(line), line.at_);
+        if (line.source_ == reference && !changeKeyOf(line).empty())
+            seenAt.emplace(changeKeyOf(line), line.at_);
     }
     std::map<std::string, std::vector<Milliseconds>> differences;
     for (const auto &line : lines) {
         offsets.emplace(line.source_, Milliseconds(0));
-        const auto seen = seenAt.find(changeOf(line));
+        const auto seen = seenAt.find(changeKeyOf(line));
         if (line.source_ != reference && seen != seenAt.end())
             differences[line.source_].push_back(line.at_ - seen->second);
     }
@@ -104,7 +106,7 @@
     return offsets;
 }
 
-std::vector<LogLine> storyOf(const std::string &id, std::vector<LogLine> lines)
+std::vector<LogLine> requestTraceOf(const std::string &id, std::vector<LogLine> lines)
 {
     const auto offsets = clockOffsets(lines);
     for (auto &line : lines)
@@ -127,19 +129,19 @@
     const auto belongs = [&](const LogLine &line) {
         if (fieldOf(line, "id") == id)
             return true;
-        if (line.at_ < first - storyMargin || line.at_ > last + storyMargin)
+        if (line.at_ < first - traceMargin || line.at_ > last + traceMargin)
             return false;
         const bool isOfTarget
             = fieldOf(line, "id").empty() && targets.contains(fieldOf(line, "target"));
         return isOfTarget
                || (sources.contains(line.source_) && instanceEvents().contains(line.name_));
     };
-    std::vector<LogLine> story;
-    std::copy_if(lines.begin(), lines.end(), std::back_inserter(story), belongs);
-    std::stable_sort(story.begin(), story.end(), [](const LogLine &a, const LogLine &b) {
+    std::vector<LogLine> trace;
+    std::copy_if(lines.begin(), lines.end(), std::back_inserter(trace), belongs);
+    std::stable_sort(trace.begin(), trace.end(), [](const LogLine &a, const LogLine &b) {
         return a.at_ < b.at_;
     });
-    return story;
+    return trace;
 }
 
 } // namespace Observe
--- a/Libraries/LibObserve/Settings.cpp
+++ b/Libraries/LibObserve/Settings.cpp
@@ -19,19 +19,20 @@
     {"instance", "region", "", true, Both, "a name", "the region in which the instance runs"},
     {"instance", "domain", "", true, Both, "a name",
      "the failure domain in which the instance runs"},
-    {"listen", "lookup", "", true, Both, "IP:port", "callers ask for an entry here"},
+    {"listen", "lookup", "", true, Both, "IP:port", "callers look up an entry here"},
     {"listen", "entry", "", true, Both, "IP:port", "callers send requests here"},
-    {"listen", "entry_peer", "", true, Daemons, "IP:port", "other entries hand requests over here"},
+    {"listen", "entry_peer", "", true, Daemons, "IP:port", "other entries forward requests here"},
     {"listen", "control", "", true, Both, "IP:port", "other instances exchange state here"},
     {"listen", "control_local", "", true, Daemons, "IP:port",
      "the instance's own processes connect here"},
-    {"listen", "entry_admin", "", true, Daemons, "IP:port", "readout of entryd"},
-    {"listen", "lookup_admin", "", true, Daemons, "IP:port", "readout of lookupd"},
-    {"listen", "control_admin", "", true, Daemons, "IP:port", "readout of controld"},
-    {"listen", "ready", "", true, OneProcess, "IP:port", "tells whether callers may be sent here"},
-    {"listen", "admin", "", true, OneProcess, "IP:port", "readout of instanced"},
+    {"listen", "entry_admin", "", true, Daemons, "IP:port", "admin endpoint of entryd"},
+    {"listen", "lookup_admin", "", true, Daemons, "IP:port", "admin endpoint of lookupd"},
+    {"listen", "control_admin", "", true, Daemons, "IP:port", "admin endpoint of controld"},
+    {"listen", "ready", "", true, OneProcess, "IP:port",
+     "reports whether callers may be sent here"},
+    {"listen", "admin", "", true, OneProcess, "IP:port", "admin endpoint of instanced"},
     {"platform", "terms", "", false, OneProcess, "name=value, ...",
-     "what the platform promises and asks, in its own words"},
+     "the platform's guarantees and requirements, in its own terms"},
     {"site", "domains", "", true, OneProcess, "domain:region, ...",
      "each failure domain with its region"},
     {"platform", "address", "", true, Both, "IP:port",
@@ -45,23 +46,24 @@
     {"entry", "body_limit_bytes", "1048576", false, Daemons, "0 to 268435456",
      "largest body of a request"},
     {"entry", "idle_timeout_ms", "60000", false, Daemons, "100 to 3600000",
-     "how long a connection may rest between requests"},
+     "how long a connection may stay idle between requests"},
     {"entry", "request_timeout_ms", "10000", false, Daemons, "10 to 600000",
-     "how long a request may take to arrive whole"},
+     "how long a request may take to arrive completely"},
     {"lookup", "threads", "1", false, Daemons, "1 to 64", "threads that answer look-ups"},
     {"lookup", "ttl_ms", "2000", false, Both, "100 to 60000",
      "how long callers may keep an answer"},
     {"lookup", "entries", "4", false, Daemons, "1 to 64", "entries named in one answer"},
     {"control", "gossip_period_ms", "200", false, Daemons, "10 to 60000",
-     "time between two rounds"},
-    {"control", "gossip_peers", "2", false, Daemons, "1 to 16", "peers asked in one round"},
+     "time between two gossip rounds"},
+    {"control", "gossip_peers", "2", false, Daemons, "1 to 16",
+     "peers contacted in one gossip round"},
     {"control", "fleet_store_reads_per_s", "20", false, Daemons, "0.1 to 2000",
      "reads of the store by all instances together"},
 };
 
 constexpr std::string_view dialSection = "dial";
 
-/// Takes values out of the parsed file and notes every mistake on the way.
+/// Extracts values from the parsed file and collects every mistake.
 class Reader
 {
 public:
@@ -193,7 +195,7 @@
             if (section == dialSection)
                 continue;
             if (keys.empty() && !keys.data().empty())
-                mistakes_.push_back("[602] " + section + ": stands outside any section");
+                mistakes_.push_back("[602] " + section + ": is outside any section");
             for (const auto &[key, value] : keys) {
                 if (!isKnown(section, key))
                     mistakes_.push_back("[602] [" + section + "] " + key + ": no such setting");
--- a/Libraries/LibObserve/Settings.h
+++ b/Libraries/LibObserve/Settings.h
@@ -10,16 +10,16 @@
 
 namespace Observe {
 
-/// Which binaries read a setting.
+/// The binaries that read a setting.
 enum class SettingUse {
-    /// The three daemons of an instance of the project's own installation.
+    /// The three daemons of an instance in the project's own deployment.
     Daemons,
-    /// The one process of an instance on a platform that hands out small instances.
+    /// The single process of an instance on a platform that provides small instances.
     OneProcess,
     Both,
 };
 
-/// Everything that the processes of one instance read from its settings file.
+/// The settings that the processes of an instance read from its settings file.
 struct Settings
 {
     Model::InstanceId instance_;
@@ -27,7 +27,7 @@
     Model::FailureDomainId domain_;
 
     Model::InstanceAddresses addresses_;
-    /// Only the instance's own processes connect here.
+    /// For connections from the instance's own processes only.
     Model::Address controlLocal_;
     Model::Address entryAdmin_;
     Model::Address lookupAdmin_;
@@ -36,13 +36,13 @@
     Model::Milliseconds platformTimeout_{0};
     std::vector<Model::Address> seeds_;
 
-    /// One process only: tells whether the instance takes callers' requests.
+    /// SettingUse::OneProcess: reports whether the instance accepts callers' requests.
     Model::Address ready_;
-    /// One process only: metrics and status.
+    /// SettingUse::OneProcess: metrics and status.
     Model::Address admin_;
-    /// One process only: what the platform promises and asks, in its own words.
+    /// SettingUse::OneProcess: the platform's guarantees and requirements, in its own terms.
     std::string platformTerms_;
-    /// One process only: each failure domain with its region.
+    /// SettingUse::OneProcess: each failure domain with its region.
     std::vector<std::pair<Model::FailureDomainId, Model::RegionId>> domains_;
 
     int entryThreads_ = 1;
@@ -59,11 +59,11 @@
     int gossipPeers_ = 0;
     double fleetStoreReadsPerSecond_ = 0;
 
-    /// Where an address is reached in fact, for networks that translate addresses.
+    /// The address to connect to for an advertised address, for networks with address translation.
     std::map<Model::Address, Model::Address> dial_;
 };
 
-/// One line of docs/settings.md: a key, what it may hold and what holds if it is not given.
+/// A line of docs/settings.md: a key, its allowed values and its default.
 struct SettingInfo
 {
     std::string_view section_;
@@ -75,24 +75,24 @@
     std::string_view meaning_;
 };
 
-/// Returns the known settings in the order in which they are shown. Thread safety: any thread.
+/// Returns the known settings in display order. Thread safety: any thread.
 const std::vector<SettingInfo> &settingInfos();
 
-/// What is wrong with a settings file, one text for each mistake.
+/// The result of a check of a settings file, with one text for each mistake.
 struct SettingsCheck
 {
     std::optional<Settings> settings_;
     std::vector<std::string> mistakes_;
 };
 
-/// Reads and checks a whole settings text for the binaries \a use. Either `settings_` is set or
-/// `mistakes_` lists every mistake at once. Thread safety: any thread.
+/// Parses and checks a whole settings text for the binaries \a use. Either `settings_` is set or
+/// `mistakes_` lists every mistake. Thread safety: any thread.
 SettingsCheck settingsFromText(const std::string &text, SettingUse use = SettingUse::Daemons);
 
-/// As settingsFromText(), for the file at \a path. Thread safety: any thread.
+/// Like settingsFromText(), for the file at \a path. Thread safety: any thread.
 SettingsCheck settingsFromFile(const std::string &path, SettingUse use = SettingUse::Daemons);
 
-/// Returns where to connect to in order to reach \a address. Thread safety: any thread.
+/// Returns the address to connect to in order to reach \a address. Thread safety: any thread.
 Model::Address dialAddress(const Settings &settings, const Model::Address &address);
 
 } // namespace Observe
--- a/Tests/LibModel/TestClientBlocks.cpp
+++ b/Tests/LibModel/TestClientBlocks.cpp
@@ -8,7 +8,7 @@
     CPPUNIT_TEST_SUITE(TestClientBlocks);
     CPPUNIT_TEST(smallestBlockWins);
     CPPUNIT_TEST(badLineIsNamed);
-    CPPUNIT_TEST(agreesWithTryingEveryBlock);
+    CPPUNIT_TEST(lookupAgreesWithLinearSearch);
     CPPUNIT_TEST(ipv6BlocksWork);
     CPPUNIT_TEST_SUITE_END();
 
@@ -20,8 +20,8 @@
         CPPUNIT_ASSERT(blocks);
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), blocks->size());
         const auto regionOf = [&](const char *host) {
-            const auto *place = blocks->placeOf(host);
-            return place ? place->region_.value() : std::string("none");
+            const auto *location = blocks->placeOf(host);
+            return location ? location->region_.value() : std::string("none");
         };
         CPPUNIT_ASSERT_EQUAL(std::string("C"), regionOf("10.1.2.255"));
         CPPUNIT_ASSERT_EQUAL(std::string("B"), regionOf("10.1.3.0"));
@@ -39,7 +39,7 @@
         }
     }
 
-    void agreesWithTryingEveryBlock()
+    void lookupAgreesWithLinearSearch()
     {
         Support::assertProperty("the look-up finds the smallest block around a number", [] {
             struct Block
@@ -71,8 +71,8 @@
                     expected
                         = "R" + std::to_string(block.base_) + "-" + std::to_string(block.length_);
                 }
-                const auto *place = built->placeOf("10.0.0." + std::to_string(host));
-                RC_ASSERT((place ? place->region_.value() : "none") == expected);
+                const auto *location = built->placeOf("10.0.0." + std::to_string(host));
+                RC_ASSERT((location ? location->region_.value() : "none") == expected);
             }
         });
     }
--- a/Tests/LibModel/TestResultCode.cpp
+++ b/Tests/LibModel/TestResultCode.cpp
@@ -9,8 +9,8 @@
 {
     CPPUNIT_TEST_SUITE(TestResultCode);
     CPPUNIT_TEST(pageListsExactlyTheCodes);
-    CPPUNIT_TEST(timesComeBackAsTheyWere);
-    CPPUNIT_TEST(addressesComeBackAsTheyWere);
+    CPPUNIT_TEST(timesRoundTrip);
+    CPPUNIT_TEST(addressesRoundTrip);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -27,7 +27,7 @@
         CPPUNIT_ASSERT_MESSAGE(expected, page.str().find(expected) != std::string::npos);
     }
 
-    void timesComeBackAsTheyWere()
+    void timesRoundTrip()
     {
         Support::assertProperty("a time survives its text", [] {
             const Model::WallTime time{
@@ -38,7 +38,7 @@
             CPPUNIT_ASSERT(!Model::timeFromText(text));
     }
 
-    void addressesComeBackAsTheyWere()
+    void addressesRoundTrip()
     {
         for (const char *text : {"127.0.0.1:80", "[2001:db8::1]:443"})
             CPPUNIT_ASSERT_EQUAL(std::string(text), Model::toText(*Model::addressFromText(text)));
--- a/Tests/LibModel/TestTable.cpp
+++ b/Tests/LibModel/TestTable.cpp
@@ -25,20 +25,20 @@
 class TestTable : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestTable);
-    CPPUNIT_TEST(examplesAreGood);
-    CPPUNIT_TEST(wrongCellNamesRowColumnValueAndWhatIsAllowed);
+    CPPUNIT_TEST(examplesAreValid);
+    CPPUNIT_TEST(cellErrorNamesRowColumnValueAndAllowedValues);
     CPPUNIT_TEST(everyMistakeIsListed);
     CPPUNIT_TEST(danglingReferenceIsRefused);
     CPPUNIT_TEST(drainThatEndsBeforeItStartsIsRefused);
     CPPUNIT_TEST(duplicateRowIsRefused);
-    CPPUNIT_TEST(textComesBackAsItWas);
-    CPPUNIT_TEST(longestBeginningDecidesTheClass);
-    CPPUNIT_TEST(changesNameWhatDiffers);
+    CPPUNIT_TEST(textRoundTrips);
+    CPPUNIT_TEST(longestPrefixDecidesTheClass);
+    CPPUNIT_TEST(changesNameTheDifferences);
     CPPUNIT_TEST(randomTextNeverBuildsABrokenTable);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void examplesAreGood()
+    void examplesAreValid()
     {
         for (const std::string name : {"koper", "nakhla"}) {
             const auto rows
@@ -51,7 +51,7 @@
         }
     }
 
-    void wrongCellNamesRowColumnValueAndWhatIsAllowed()
+    void cellErrorNamesRowColumnValueAndAllowedValues()
     {
         const auto errors = errorsOf("[service gauging]\ntimeout_ms = soon\n");
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), errors.size());
@@ -90,7 +90,7 @@
         CPPUNIT_ASSERT(Model::lastReason().code_ == ResultCode::DuplicateRow);
     }
 
-    void textComesBackAsItWas()
+    void textRoundTrips()
     {
         const auto rows = Model::rowsFromText(fileText(CASSIACRANK_SOURCE "/Examples/koper.table"));
         CPPUNIT_ASSERT(rows);
@@ -101,7 +101,7 @@
         CPPUNIT_ASSERT(Model::changesBetween(*rows, *again).empty());
     }
 
-    void longestBeginningDecidesTheClass()
+    void longestPrefixDecidesTheClass()
     {
         const auto rows
             = Model::rowsFromText("[class all]\ncallers = *\n[class ships]\n"
@@ -116,7 +116,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("all"), classOf("anyone"));
     }
 
-    void changesNameWhatDiffers()
+    void changesNameTheDifferences()
     {
         const auto before = Model::rowsFromText("[region a]\nweight = 1\n[region b]\n");
         const auto after = Model::rowsFromText("[region a]\nweight = 2\n[region c]\n");
--- a/Tests/LibObserve/TestDecisionLog.cpp
+++ b/Tests/LibObserve/TestDecisionLog.cpp
@@ -9,7 +9,7 @@
 using Observe::DecisionLog;
 using Observe::Event;
 
-/// A pipe whose reading end is read by the test, or by nobody.
+/// A pipe that only the test reads.
 class Pipe
 {
 public:
@@ -47,8 +47,8 @@
 {
     CPPUNIT_TEST_SUITE(TestDecisionLog);
     CPPUNIT_TEST(linesAreStructured);
-    CPPUNIT_TEST(eachEventIsBoundedAndTheRestIsCounted);
-    CPPUNIT_TEST(unreadOutputNeverBlocksNorGrows);
+    CPPUNIT_TEST(eachEventIsRateLimitedAndSuppressedLinesAreCounted);
+    CPPUNIT_TEST(unreadOutputNeitherBlocksNorGrowsTheBuffer);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -70,10 +70,9 @@
         CPPUNIT_ASSERT_MESSAGE(text, text.ends_with(expected));
     }
 
-    // Symptom: under overload an instance spends its processor on its log.
-    // Sequence: refusals come by the thousand, each with a line.
-    // Cause: a log whose volume follows the load.
-    void eachEventIsBoundedAndTheRestIsCounted()
+    // Guards against a log whose volume grows with the load: under overload, thousands of refusals
+    // with a line each would use up the instance's processor.
+    void eachEventIsRateLimitedAndSuppressedLinesAreCounted()
     {
         const Pipe pipe;
         DecisionLog log(pipe.writingEnd());
@@ -85,16 +84,15 @@
         const std::string text = pipe.read();
         const auto lines = std::count(text.begin(), text.end(), '\n');
         const int bound = Observe::infoOf(Event::RequestRefused).linesPerSecond_;
-        // The loop may cross the end of a second.
+        // The loop may cross the boundary of a second.
         CPPUNIT_ASSERT(lines <= 2 * bound + 3);
         CPPUNIT_ASSERT(text.find("id=y") != std::string::npos);
         CPPUNIT_ASSERT(log.leftOut() >= static_cast<std::uint64_t>(requests - 2 * bound));
     }
 
-    // Symptom: an instance stands still.
-    // Sequence: whoever reads its output stops reading; the pipe is full.
-    // Cause: a write that waits for the reader, or a buffer that grows without an end.
-    void unreadOutputNeverBlocksNorGrows()
+    // Guards against a blocked instance: when the reader of its output stops, the pipe fills up,
+    // and a blocking write would wait for the reader or an unlimited buffer would grow.
+    void unreadOutputNeitherBlocksNorGrowsTheBuffer()
     {
         const Pipe pipe;
         DecisionLog log(pipe.writingEnd(), 16 * 1024);
@@ -108,11 +106,11 @@
             }
             log.flush();
         }
-        // The pipe holds 64 KiB and the log 16; the bounds of a second allow over 400 KB.
+        // The pipe holds 64 KiB and the log 16 KiB; the limits per second allow over 400 KB.
         CPPUNIT_ASSERT(log.dropped() > 0);
         CPPUNIT_ASSERT(std::chrono::steady_clock::now() - begun < std::chrono::seconds(10));
-        // What was kept comes out whole once somebody reads, and it is no more than the bound and
-        // one line.
+        // The buffered lines are written completely once the pipe is read, and they are no larger
+        // than the limit and one line.
         const std::string first = pipe.read();
         std::string kept;
         for (std::string part = "x"; !part.empty();) {
--- a/Tests/LibObserve/TestObserve.cpp
+++ b/Tests/LibObserve/TestObserve.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-const std::string goodSettings
+const std::string validSettings
     = "[instance]\nid = i-1\nregion = r\ndomain = d\n[listen]\nlookup = 127.0.0.1:1\n"
       "entry = 127.0.0.1:2\nentry_peer = 127.0.0.1:3\ncontrol = 127.0.0.1:4\n"
       "control_local = 127.0.0.1:5\nentry_admin = 127.0.0.1:6\nlookup_admin = 127.0.0.1:7\n"
@@ -16,11 +16,11 @@
     CPPUNIT_TEST_SUITE(TestObserve);
     CPPUNIT_TEST(pageListsExactlyTheEvents);
     CPPUNIT_TEST(pageListsExactlyTheSettings);
-    CPPUNIT_TEST(goodSettingsAreRead);
+    CPPUNIT_TEST(validSettingsAreParsed);
     CPPUNIT_TEST(allMistakesAreListedAtOnce);
     CPPUNIT_TEST(dialTranslatesAddresses);
-    CPPUNIT_TEST(auditRecordsComeBackAsTheyWere);
-    CPPUNIT_TEST(summaryFindsTheQuantiles);
+    CPPUNIT_TEST(auditRecordsRoundTrip);
+    CPPUNIT_TEST(summaryEstimatesQuantiles);
     CPPUNIT_TEST(metricsTextDescribesEachNameOnce);
     CPPUNIT_TEST_SUITE_END();
 
@@ -56,9 +56,9 @@
         CPPUNIT_ASSERT_MESSAGE(expected, page("settings.md").find(expected) != std::string::npos);
     }
 
-    void goodSettingsAreRead()
+    void validSettingsAreParsed()
     {
-        const auto check = Observe::settingsFromText(goodSettings);
+        const auto check = Observe::settingsFromText(validSettings);
         CPPUNIT_ASSERT(check.mistakes_.empty());
         CPPUNIT_ASSERT(check.settings_);
         CPPUNIT_ASSERT_EQUAL(std::string("i-1"), check.settings_->instance_.value());
@@ -84,7 +84,7 @@
     void dialTranslatesAddresses()
     {
         const auto check
-            = Observe::settingsFromText(goodSettings + "[dial]\n10.0.0.1:80 = 127.0.0.1:8080\n");
+            = Observe::settingsFromText(validSettings + "[dial]\n10.0.0.1:80 = 127.0.0.1:8080\n");
         CPPUNIT_ASSERT(check.settings_);
         CPPUNIT_ASSERT_EQUAL(std::uint16_t(8080),
                              Observe::dialAddress(*check.settings_, {"10.0.0.1", 80}).port_);
@@ -92,7 +92,7 @@
                              Observe::dialAddress(*check.settings_, {"10.0.0.1", 81}).port_);
     }
 
-    void auditRecordsComeBackAsTheyWere()
+    void auditRecordsRoundTrip()
     {
         Observe::AuditRecord record;
         record.version_ = Model::TableVersion(7);
@@ -104,7 +104,7 @@
         CPPUNIT_ASSERT(!Observe::auditFromText("{}"));
     }
 
-    void summaryFindsTheQuantiles()
+    void summaryEstimatesQuantiles()
     {
         Observe::DurationSummary summary;
         CPPUNIT_ASSERT_EQUAL(0LL, static_cast<long long>(summary.quantile(0.5).count()));
--- a/Tests/LibObserve/TestLogStory.cpp
+++ b/Tests/LibObserve/TestRequestTrace.cpp
@@ -22,18 +22,18 @@
     to.insert(to.end(), more.begin(), more.end());
 }
 
-class TestLogStory : public CppUnit::TestFixture
+class TestRequestTrace : public CppUnit::TestFixture
 {
-    CPPUNIT_TEST_SUITE(TestLogStory);
-    CPPUNIT_TEST(linesAreReadBack);
-    CPPUNIT_TEST(anyTextIsReadOrRefused);
-    CPPUNIT_TEST(storyHasTheTargetsAndTheInstance);
-    CPPUNIT_TEST(clocksArePutRight);
-    CPPUNIT_TEST(unknownRequestHasNoStory);
+    CPPUNIT_TEST_SUITE(TestRequestTrace);
+    CPPUNIT_TEST(writtenLinesAreParsed);
+    CPPUNIT_TEST(noTextMakesTheParserThrow);
+    CPPUNIT_TEST(traceHasLinesOfTargetsAndInstance);
+    CPPUNIT_TEST(clockOffsetsAreCorrected);
+    CPPUNIT_TEST(unknownRequestHasNoTrace);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void linesAreReadBack()
+    void writtenLinesAreParsed()
     {
         const auto line = Observe::logLineFromText(
             "i1",
@@ -47,7 +47,7 @@
         CPPUNIT_ASSERT(!Observe::logLineFromText("i1", "t=soon name=Started"));
     }
 
-    void anyTextIsReadOrRefused()
+    void noTextMakesTheParserThrow()
     {
         Support::assertProperty("no text throws", [] {
             const auto text = *rc::gen::container<std::string>(
@@ -56,8 +56,9 @@
         });
     }
 
-    // Symptom: a caller complains; its request is one of thousands in twelve files.
-    void storyHasTheTargetsAndTheInstance()
+    // Finds the lines that explain one request among those of thousands in the logs of many
+    // instances.
+    void traceHasLinesOfTargetsAndInstance()
     {
         auto lines = linesOf("i1", {"t=1000 event=2003 name=StoreLost table=targets",
                                     "t=2000 event=5004 name=RequestRetried id=c1 target=t1",
@@ -67,19 +68,18 @@
         append(lines, linesOf("i2", {"t=1900 event=3002 name=TargetSuspect target=t1",
                                      "t=1950 event=5001 name=RequestAnswered id=c3 target=t1",
                                      "t=1960 event=2003 name=StoreLost table=targets"}));
-        const auto story = Observe::storyOf("c1", lines);
+        const auto trace = Observe::requestTraceOf("c1", lines);
         std::vector<std::string> names;
-        for (const auto &line : story)
+        for (const auto &line : trace)
             names.push_back(line.source_ + " " + line.name_);
         const std::vector<std::string> expected
             = {"i1 StoreLost", "i2 TargetSuspect", "i1 RequestRetried", "i1 RequestUnknown"};
         CPPUNIT_ASSERT(names == expected);
     }
 
-    // Symptom: an instance is said to have known of a target's leave before it was told.
-    // Sequence: two instances whose clocks differ by two seconds log the same changes.
-    // Cause: ordering lines by clocks that do not agree.
-    void clocksArePutRight()
+    // Guards against ordering lines by clocks that disagree: with clocks two seconds apart, an
+    // instance would appear to know that a target leaves before it received the change.
+    void clockOffsetsAreCorrected()
     {
         auto lines = linesOf("i1", {"t=1000 event=5102 name=TargetChanged target=t1 revision=7",
                                     "t=1500 event=5102 name=TargetChanged target=t2 revision=8",
@@ -91,17 +91,17 @@
         CPPUNIT_ASSERT(offsets.at("i1") == Milliseconds(0));
         CPPUNIT_ASSERT(offsets.at("i2") >= Milliseconds(1990));
         CPPUNIT_ASSERT(offsets.at("i2") <= Milliseconds(2010));
-        const auto story = Observe::storyOf("c1", lines);
-        CPPUNIT_ASSERT_EQUAL(std::string("RequestUnknown"), story.back().name_);
+        const auto trace = Observe::requestTraceOf("c1", lines);
+        CPPUNIT_ASSERT_EQUAL(std::string("RequestUnknown"), trace.back().name_);
     }
 
-    void unknownRequestHasNoStory()
+    void unknownRequestHasNoTrace()
     {
-        CPPUNIT_ASSERT(Observe::storyOf("c9", linesOf("i1", {"t=1 name=Started"})).empty());
-        CPPUNIT_ASSERT(Observe::storyOf("c9", {}).empty());
+        CPPUNIT_ASSERT(Observe::requestTraceOf("c9", linesOf("i1", {"t=1 name=Started"})).empty());
+        CPPUNIT_ASSERT(Observe::requestTraceOf("c9", {}).empty());
     }
 };
 
 } // namespace
 
-CPPUNIT_TEST_SUITE_REGISTRATION(TestLogStory);
+CPPUNIT_TEST_SUITE_REGISTRATION(TestRequestTrace);
--- a/Utilities/Tracelog/main.cpp
+++ b/Utilities/Tracelog/main.cpp
@@ -1,4 +1,4 @@
-// Tells the story of one request from the output of several instances: tracelog ID FILE...
+// Prints the trace of one request from the output of several instances: tracelog ID FILE...
 
 #include <LibObserve/LibObserve.h>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-enum ExitCode { Found = 0, NotFound = 1, BadUse = 2, Unreadable = 3 };
+enum ExitCode { Found = 0, NotFound = 1, BadUsage = 2, Unreadable = 3 };
 
 bool readFile(const std::string &path, std::vector<Observe::LogLine> &lines)
 {
@@ -25,7 +25,7 @@
     return true;
 }
 
-/// One line of the story: its time from the first line on, with the clocks put right.
+/// Prints a line of the trace with its time since the first line, corrected for clock offsets.
 void print(const Observe::LogLine &line, Model::Milliseconds begin)
 {
     const auto since = static_cast<long long>((line.at_ - begin).count());
@@ -41,11 +41,11 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("Tells the story of one request: tracelog ID FILE...");
+    gflags::SetUsageMessage("Prints the trace of one request: tracelog ID FILE...");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (argc < 3) {
         std::cerr << "usage: tracelog ID FILE...\n";
-        return BadUse;
+        return BadUsage;
     }
     std::vector<Observe::LogLine> lines;
     for (int i = 2; i < argc; ++i) {
@@ -54,13 +54,14 @@
             return Unreadable;
         }
     }
-    const auto story = Observe::storyOf(argv[1], std::move(lines));
-    if (story.empty()) {
+    const auto trace = Observe::requestTraceOf(argv[1], std::move(lines));
+    if (trace.empty()) {
         std::cerr << "no line names " << argv[1]
-                  << ": not read here, left out (see LinesLeftOut), or the process was killed\n";
+                  << ": its log was not given, the line was suppressed (see LinesLeftOut), or the "
+                     "process was killed\n";
         return NotFound;
     }
-    for (const auto &line : story)
-        print(line, story.front().at_);
+    for (const auto &line : trace)
+        print(line, trace.front().at_);
     return Found;
 }
