--- a/Libraries/LibModel/Route.cpp
+++ b/Libraries/LibModel/Route.cpp
@@ -18,7 +18,7 @@
     return text.substr(first, text.find_last_not_of(' ') - first + 1);
 }
 
-std::optional<RoutePart> partFromText(const std::string &text)
+std::optional<RoutePart> weightedSplitFromText(const std::string &text)
 {
     const auto colon = text.find(':');
     if (colon == std::string::npos)
@@ -36,28 +36,28 @@
 
 std::optional<std::vector<RoutePart>> routePartsFromText(const std::string &text)
 {
-    std::vector<RoutePart> parts;
+    std::vector<RoutePart> splits;
     double sum = 0;
     std::istringstream stream(text);
     for (std::string item; std::getline(stream, item, ',');) {
-        const auto part = partFromText(trimmed(item));
-        if (!part || part->service_.isEmpty())
+        const auto split = weightedSplitFromText(trimmed(item));
+        if (!split || split->service_.isEmpty())
             return fail(ResultCode::BadValue, "services '" + text + "'");
-        sum += part->weight_.value();
-        parts.push_back(*part);
+        sum += split->weight_.value();
+        splits.push_back(*split);
     }
     if (sum <= 0)
         return fail(ResultCode::BadValue, "services '" + text + "'");
-    return parts;
+    return splits;
 }
 
-std::string toText(const std::vector<RoutePart> &parts)
+std::string toText(const std::vector<RoutePart> &splits)
 {
     std::string text;
-    for (const auto &part : parts) {
+    for (const auto &split : splits) {
         char weight[32];
-        std::snprintf(weight, sizeof weight, "%.10g", part.weight_.value());
-        text += (text.empty() ? "" : ", ") + part.service_.value() + ":" + weight;
+        std::snprintf(weight, sizeof weight, "%.10g", split.weight_.value());
+        text += (text.empty() ? "" : ", ") + split.service_.value() + ":" + weight;
     }
     return text;
 }
--- a/Libraries/LibModel/Route.h
+++ b/Libraries/LibModel/Route.h
@@ -50,7 +50,7 @@
 std::optional<std::vector<RoutePart>> routePartsFromText(const std::string &text);
 
 /// Returns the form that routePartsFromText() parses. Thread safety: any thread.
-std::string toText(const std::vector<RoutePart> &parts);
+std::string toText(const std::vector<RoutePart> &splits);
 
 /// Finds the route of a request by its host and the longest prefix of its path.
 ///
--- a/Libraries/LibModel/Table.cpp
+++ b/Libraries/LibModel/Table.cpp
@@ -109,17 +109,17 @@
                           "a path that begins and ends with a slash"});
     }
     const std::string services = cellOrDefault(row, "services");
-    const auto parts = routePartsFromText(services);
-    if (!parts) {
+    const auto splits = routePartsFromText(services);
+    if (!splits) {
         errors.push_back(
             {ResultCode::BadValue, row.key_, "services", services,
              "a service, or services with a sum of weights above 0, as in a:90, b:10"});
         return;
     }
-    for (const auto &part : *parts) {
-        if (!keys.contains({RowKind::Service, part.service_.value()})) {
+    for (const auto &split : *splits) {
+        if (!keys.contains({RowKind::Service, split.service_.value()})) {
             errors.push_back({ResultCode::DanglingReference, row.key_, "services",
-                              part.service_.value(), "the name of a service row"});
+                              split.service_.value(), "the name of a service row"});
         }
     }
     for (const auto &region : listIn(row, "home_regions")) {
--- a/Libraries/LibModel/Table.h
+++ b/Libraries/LibModel/Table.h
@@ -50,7 +50,9 @@
 {
     std::size_t headBytes_ = 16384;
     std::size_t bodyBytes_ = 1048576;
+    /// Maximum time for the head of a request to arrive.
     Milliseconds request_{10000};
+    /// Maximum idle time of a connection between requests.
     Milliseconds idle_{60000};
 
     bool operator==(const CallerLimits &) const = default;
