--- a/Tests/Platform/Fleet.cpp
+++ b/Tests/Platform/Fleet.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr Milliseconds startPatience{20000};
+constexpr Milliseconds startTimeout{20000};
 const std::vector<std::string> domains = {"r-a", "s-a", "r-b", "s-b"};
 
-std::string ownNet()
+std::string uniqueNetwork()
 {
     static int fleets = 0;
     const int process = static_cast<int>(getpid());
@@ -24,7 +24,7 @@
            + std::to_string((process / 100 + fleets * 31) % 250) + ".";
 }
 
-std::string ownDirectory()
+std::string executableDirectory()
 {
     return std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
 }
@@ -33,8 +33,8 @@
 
 Fleet::Fleet()
     : store_("127.0.0.1")
-    , net_(ownNet())
-    , directory_(ownDirectory() + "/../runs/fleet-" + net_)
+    , net_(uniqueNetwork())
+    , directory_(executableDirectory() + "/../runs/fleet-" + net_)
 {
     std::filesystem::remove_all(directory_);
     std::filesystem::create_directories(directory_);
@@ -110,7 +110,7 @@
                             << moreSettings;
     instance->process_ = std::make_unique<Harness::Process>(
         instance->name_,
-        std::vector<std::string>{ownDirectory() + "/instanced", "--settings=" + settings},
+        std::vector<std::string>{executableDirectory() + "/instanced", "--settings=" + settings},
         directory_ + "/" + instance->name_ + ".log");
     instance->process_->start();
     instances_.push_back(std::move(instance));
@@ -122,10 +122,10 @@
     for (std::size_t i = 0; i < count; ++i)
         startOne();
     for (const auto &instance : instances_) {
-        if (!Harness::waitUntil(startPatience, [&] {
+        if (!Harness::waitUntil(startTimeout, [&] {
                 return isReady(*instance);
             })) {
-            throw std::runtime_error(instance->name_ + " does not get ready:\n"
+            throw std::runtime_error(instance->name_ + " does not become ready:\n"
                                      + instance->process_->log());
         }
     }
@@ -152,35 +152,35 @@
 namespace {
 
 Http::SimpleRequest requestFor(const FleetInstance &instance, const std::string &path,
-                               const std::string &id, int patienceMs, const std::string &object)
+                               const std::string &id, int timeoutMs, const std::string &object)
 {
     Http::SimpleRequest request;
     request.address_ = instance.entry();
     request.target_ = path;
     request.method_ = path.starts_with("/order/") ? Http::http::verb::post : Http::http::verb::get;
-    request.timeout_ = Milliseconds(patienceMs + 1000);
+    request.timeout_ = Milliseconds(timeoutMs + 1000);
     request.fields_ = {{"Host", "h.example"},
                        {"X-Cassiacrank-Request-Id", id},
                        {"X-Cassiacrank-Affinity-Key", object},
-                       {"X-Cassiacrank-Deadline-Ms", std::to_string(patienceMs)}};
+                       {"X-Cassiacrank-Deadline-Ms", std::to_string(timeoutMs)}};
     return request;
 }
 
 } // namespace
 
 std::optional<Http::Response> Fleet::send(const FleetInstance &instance, const std::string &route,
-                                          const std::string &id, int patienceMs,
+                                          const std::string &id, int timeoutMs,
                                           const std::string &object)
 {
-    return Http::sendAndWait(requestFor(instance, "/" + route + "/x", id, patienceMs, object));
+    return Http::sendAndWait(requestFor(instance, "/" + route + "/x", id, timeoutMs, object));
 }
 
 std::optional<Http::Response> Fleet::sendTo(const FleetInstance &instance, const std::string &path,
                                             const std::string &id, const std::string &body,
                                             const std::string &object)
 {
-    constexpr int patienceMs = 2000;
-    auto request = requestFor(instance, path, id, patienceMs, object);
+    constexpr int timeoutMs = 2000;
+    auto request = requestFor(instance, path, id, timeoutMs, object);
     request.body_ = body;
     return Http::sendAndWait(request);
 }
@@ -210,7 +210,7 @@
 {
     static int number = 0;
     for (const auto &instance : instances_) {
-        const bool isServing = Harness::waitUntil(startPatience, [&] {
+        const bool isServing = Harness::waitUntil(startTimeout, [&] {
             const auto answer = send(*instance, "read", "warm-" + std::to_string(++number));
             return answer && answer->result() == Http::http::status::ok;
         });
--- a/Tests/Platform/Fleet.h
+++ b/Tests/Platform/Fleet.h
@@ -10,7 +10,7 @@
 
 namespace PlatformStandIns {
 
-/// One instance of a fleet: a real process with a loopback number of its own.
+/// One instance of a fleet: a real process on a loopback address of its own.
 struct FleetInstance
 {
     std::string host_;
@@ -24,46 +24,45 @@
     Model::Address admin() const { return {host_, 8147}; }
 };
 
-/// Real instanced processes beside the store's and the targets' stand-ins, two failure domains in
-/// each of two regions, on loopback numbers of the fleet's own.
+/// Real instanced processes with stand-ins for the store and the targets, two failure domains in
+/// each of two regions, on loopback addresses that belong to this fleet alone.
 class Fleet
 {
 public:
     Fleet();
 
-    /// Writes a configuration of one host with two routes: /read/ (may be repeated) and /order/
-    /// (may not), both to service s. The route named \a extra is there too if it is not empty.
+    /// Writes a configuration of one host with two routes to service s: /read/, which is safe to
+    /// repeat, and /order/, which is not. Adds a safe route named \a extra if it is not empty.
     void configure(int version, const std::string &extra = "");
-    /// Starts \a count instances, in the domains by turns, and waits until all are ready.
+    /// Starts \a count instances, round robin over the domains, and waits until all are ready.
     void start(std::size_t count);
-    /// Starts one more instance, which reaches the store at \a store if that is given; \a
-    /// moreSettings are further sections of its settings.
+    /// Starts one more instance, which calls \a store instead of the fleet's store if it is given.
+    /// Appends \a moreSettings to the settings file.
     FleetInstance &startOne(const std::optional<Model::Address> &store = std::nullopt,
                             const std::string &moreSettings = "");
-    /// Configures the routes, adds targets of the given ids in r-a and starts instances; returns
-    /// whether all of them serve.
+    /// Configures the routes, adds targets with the given ids in r-a and starts instances. Returns
+    /// whether all instances serve.
     bool serve(std::size_t instances, const std::vector<std::string> &targets);
     /// Adds a target of the service and registers it.
     Target &addTarget(const std::string &id, const std::string &zone);
     void registerTarget(const Target &target, const std::string &zone,
                         const std::string &state = "ready", int coldMs = 0);
 
-    /// Sends a request through an instance, under an id of its own.
+    /// Sends a request with the given request id through an instance.
     std::optional<Http::Response> send(const FleetInstance &instance, const std::string &route,
-                                       const std::string &id, int patienceMs = 2000,
+                                       const std::string &id, int timeoutMs = 2000,
                                        const std::string &object = "7");
-    /// The same for a path of its own, with a body.
+    /// Sends a request to a complete path, with a body.
     std::optional<Http::Response> sendTo(const FleetInstance &instance, const std::string &path,
                                          const std::string &id, const std::string &body = "",
                                          const std::string &object = "7");
-    /// Returns the addresses that an instance names to callers of a region.
+    /// Returns the addresses in an instance's look-up answer to callers of a region.
     std::vector<std::string> lookUp(const FleetInstance &instance, const std::string &region);
     bool isReady(const FleetInstance &instance);
     /// Waits until every instance serves a request to a target.
     bool waitUntilServing();
 
-    /// The loopback number of one of the fleet's instances, counted from 2, or of anything else of
-    /// its net.
+    /// Returns a loopback address in the fleet's network. Instances are numbered from 2.
     std::string host(int number) const;
     const std::string &directory() const { return directory_; }
 
--- a/Tests/Platform/StandIns.cpp
+++ b/Tests/Platform/StandIns.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr Milliseconds feedStep{10};
+constexpr Milliseconds pollInterval{10};
 constexpr Milliseconds never{600000};
 
 std::string encoded(const std::string &text)
@@ -45,13 +45,13 @@
 
 } // namespace
 
-Served::Served(const std::string &host, Http::Handler handler)
+ServerThread::ServerThread(const std::string &host, Http::Handler handler)
     : server_(context_, Http::ServerLimits(), std::move(handler))
 {
-    Http::asio::io_context probing;
+    Http::asio::io_context probeContext;
     bool isListening = false;
     while (!isListening) {
-        Http::tcp::acceptor probe(probing, {Http::asio::ip::make_address(host), 0});
+        Http::tcp::acceptor probe(probeContext, {Http::asio::ip::make_address(host), 0});
         address_ = {host, probe.local_endpoint().port()};
         probe.close();
         isListening = server_.listen(address_);
@@ -61,18 +61,18 @@
     });
 }
 
-Served::Served(const Model::Address &address, Http::Handler handler)
+ServerThread::ServerThread(const Model::Address &address, Http::Handler handler)
     : server_(context_, Http::ServerLimits(), std::move(handler))
     , address_(address)
 {
     while (!server_.listen(address_))
-        std::this_thread::sleep_for(feedStep);
+        std::this_thread::sleep_for(pollInterval);
     thread_ = std::thread([this] {
         context_.run();
     });
 }
 
-Served::~Served()
+ServerThread::~ServerThread()
 {
     context_.stop();
     thread_.join();
@@ -148,13 +148,13 @@
     } else {
         response = transact(request.message_.body());
     }
-    if (faults.losesAnswers_ || hasBeenSilentSince(silences)) {
+    if (faults.losesAnswers_ || wasSilentSince(silences)) {
         co_await Http::sleepFor(never);
     }
     co_return response;
 }
 
-bool Store::hasBeenSilentSince(std::uint64_t silences)
+bool Store::wasSilentSince(std::uint64_t silences)
 {
     const std::lock_guard lock(mutex_);
     return silences_ != silences;
@@ -196,7 +196,7 @@
                 co_return jsonAnswer(body);
             }
         }
-        co_await Http::sleepFor(feedStep);
+        co_await Http::sleepFor(pollInterval);
     }
 }
 
@@ -233,10 +233,10 @@
 
 Target::Target(const std::string &host, std::string id)
     : id_(std::move(id))
-    , served_(std::make_unique<Served>(host,
-                                       [this](Http::IncomingRequest request) {
-                                           return answer(std::move(request));
-                                       }))
+    , served_(std::make_unique<ServerThread>(host,
+                                             [this](Http::IncomingRequest request) {
+                                                 return answer(std::move(request));
+                                             }))
     , address_(served_->address())
 {
     supervisor_ = std::thread([this] {
@@ -248,7 +248,7 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        isOver_ = true;
+        isStopping_ = true;
         changed_.notify_all();
     }
     supervisor_.join();
@@ -279,39 +279,40 @@
     return ends_;
 }
 
-/// Ends runs that are to end and begins the next ones.
+/// Ends the present incarnation when its end is due, and begins the next one.
 void Target::supervise()
 {
     std::unique_lock lock(mutex_);
     const auto waitUntil = [&](Model::SteadyTime time) {
         changed_.wait_until(lock, time, [this] {
-            return isOver_;
+            return isStopping_;
         });
     };
-    while (!isOver_) {
+    while (!isStopping_) {
         changed_.wait(lock, [this] {
-            return isOver_ || endAt_;
+            return isStopping_ || endAt_;
         });
-        if (isOver_)
+        if (isStopping_)
             return;
         const bool isKilled = *endAt_ == Model::longAgo;
         waitUntil(*endAt_);
-        std::unique_ptr<Served> ended = std::move(served_);
+        std::unique_ptr<ServerThread> ended = std::move(served_);
         lock.unlock();
         ended.reset();
         lock.lock();
         if (!isKilled)
             ends_.push_back({std::chrono::steady_clock::now(), endsUnder_});
         waitUntil(std::chrono::steady_clock::now() + faults_.backAfter_);
-        if (isOver_)
+        if (isStopping_)
             return;
         const std::string earlier = std::exchange(id_, id_ + "." + std::to_string(++run_));
         endAt_.reset();
         const auto back = back_;
         lock.unlock();
-        auto fresh = std::make_unique<Served>(address_, [this](Http::IncomingRequest request) {
-            return answer(std::move(request));
-        });
+        auto fresh
+            = std::make_unique<ServerThread>(address_, [this](Http::IncomingRequest request) {
+                  return answer(std::move(request));
+              });
         back(earlier);
         lock.lock();
         served_ = std::move(fresh);
--- a/Tests/Platform/StandIns.h
+++ b/Tests/Platform/StandIns.h
@@ -17,17 +17,17 @@
 
 namespace PlatformStandIns {
 
-/// Serves a handler on a thread of its own.
-class Served
+/// An HTTP server that runs a handler on a dedicated thread.
+class ServerThread
 {
 public:
-    /// Serves at a free port of a loopback number.
-    Served(const std::string &host, Http::Handler handler);
+    /// Serves at a free port of a loopback address.
+    ServerThread(const std::string &host, Http::Handler handler);
     /// Serves at \a address, which must be free.
-    Served(const Model::Address &address, Http::Handler handler);
-    ~Served();
-    Served(const Served &) = delete;
-    Served &operator=(const Served &) = delete;
+    ServerThread(const Model::Address &address, Http::Handler handler);
+    ~ServerThread();
+    ServerThread(const ServerThread &) = delete;
+    ServerThread &operator=(const ServerThread &) = delete;
 
     Model::Address address() const { return address_; }
 
@@ -41,18 +41,19 @@
 /// How the store misbehaves.
 struct StoreFaults
 {
-    /// Every call is answered 503; nothing is done.
+    /// Answers every call with 503 and does nothing.
     bool isRefusing_ = false;
 
-    /// Calls are performed and never answered.
+    /// Performs calls and never answers them.
     bool losesAnswers_ = false;
-    /// Calls that come now, or that wait now, are never answered; nothing is done.
+    /// Never answers calls that arrive or wait in this state, and does not perform new ones.
     bool isSilent_ = false;
-    /// Calls that ask for changes since before now are answered 410.
+    /// Answers 410 to calls that request changes since a revision before the present one.
     bool hasForgotten_ = false;
 };
 
-/// A stand-in for the platform's store: rows with revisions, conditions, a feed and outages.
+/// A stand-in for the platform's store: rows with revisions, conditional writes, a change feed and
+/// injected faults.
 ///
 /// Thread safety: every method may be called from any thread.
 class Store
@@ -61,7 +62,7 @@
     explicit Store(const std::string &host);
 
     Model::Address address() const { return served_.address(); }
-    /// Writes or removes a row as operators and targets do.
+    /// Writes a row, as operators and targets do.
     void put(const std::string &table, const std::string &key, const std::string &value);
     void remove(const std::string &table, const std::string &key);
     std::optional<std::string> value(const std::string &table, const std::string &key);
@@ -78,7 +79,7 @@
     using Table = std::map<std::string, Row>;
 
     Http::Task<Http::Response> answer(Http::IncomingRequest request);
-    bool hasBeenSilentSince(std::uint64_t silences);
+    bool wasSilentSince(std::uint64_t silences);
     Http::Task<Http::Response> feed(std::string target);
     Http::Response get(const std::string &target);
     Http::Response transact(const std::string &body);
@@ -90,33 +91,33 @@
     std::map<std::string, Table> tables_;
     std::uint64_t revision_ = 0;
     std::uint64_t forgottenBefore_ = 0;
-    /// Counts the silences; a call that waited through one stays unanswered.
+    /// Counts silent periods. A call that waited during one stays unanswered.
     std::uint64_t silences_ = 0;
     StoreFaults faults_;
     std::atomic<int> calls_{0};
-    Served served_;
+    ServerThread served_;
 };
 
 /// How a target misbehaves.
 struct TargetFaults
 {
-    /// Answers 503 and says that it has not run the request.
+    /// Answers 503 and states that the request was not run.
     bool isShedding_ = false;
-    /// Runs the request and closes the connection without an answer.
+    /// Runs the request and never answers.
     bool losesAnswers_ = false;
-    /// Runs the request and closes the connection inside the answer.
+    /// Runs the request and closes the connection in the middle of the answer.
     bool isTruncating_ = false;
     /// Answers with the id of another request.
     bool isForeign_ = false;
     Model::Milliseconds work_{5};
-    /// Ends when it has begun to run a request whose path begins so; not if empty.
+    /// Crashes after it begins to run a request whose path has this prefix. Empty: never crashes.
     std::string endsUnder_;
     Model::Milliseconds endsAfter_{20};
-    /// Then it starts again, as another run at the same address.
+    /// Time until a new incarnation starts at the same address.
     Model::Milliseconds backAfter_{1500};
 };
 
-/// An end of a target's run under a request.
+/// A crash of a target's incarnation while it ran a request.
 struct TargetEnd
 {
     Model::SteadyTime at_;
@@ -128,18 +129,18 @@
 struct Arrival
 {
     Model::SteadyTime at_;
-    /// The run of the target.
+    /// The id of the target's incarnation.
     std::string run_;
     std::string request_;
-    /// The instance that it came through, where its caller named it.
+    /// The entry that forwarded the request, if the caller named it.
     std::string through_;
 };
 
-/// The field by which callers of a soak name the entry that they use; instances pass it on.
+/// The header in which callers of a soak test name the entry they use. Instances forward it.
 constexpr const char *throughHeader = "X-Through";
 
-/// A stand-in for a target of the platform: runs requests, counts them by id, refuses those that
-/// expect another run.
+/// A stand-in for a target of the platform: runs requests, counts them by id, and refuses those
+/// that expect another incarnation.
 ///
 /// Thread safety: every method may be called from any thread.
 class Target
@@ -152,25 +153,25 @@
 
     std::string id() const;
     Model::Address address() const { return address_; }
-    /// Ends it as if it was killed: connections break, nothing listens until it is back.
+    /// Simulates a kill: connections break, and nothing listens until the restart.
     void kill();
-    /// Called, on a thread of the target's own, when another run of it serves; with the id of the
-    /// run before.
+    /// Sets the callback for restarts. It runs on the target's own thread when a new incarnation
+    /// serves, with the id of the previous incarnation.
     void setBack(std::function<void(const std::string &earlier)> back);
-    /// The ends of its runs, without those that were killed.
+    /// Returns the crashes of its incarnations, without those by kill().
     std::vector<TargetEnd> ends();
-    /// What it writes to the store of itself.
+    /// Returns the target's registration as stored.
     std::string registration(const std::string &service, const std::string &zone,
                              const std::string &state = "ready", int coldMs = 0) const;
     void setFaults(const TargetFaults &faults);
-    /// Begins a new run with another id at the same address.
+    /// Begins a new incarnation with another id at the same address.
     void become(const std::string &id);
-    /// How often each request ran.
+    /// Returns how often each request ran, by request id.
     std::map<std::string, int> runs();
     std::size_t runCount();
-    /// The requests that began to run since the last call.
+    /// Returns the requests that began to run since the last call.
     std::vector<Arrival> takeArrivals();
-    /// The values of a header in the requests that ran.
+    /// Returns the values of a header in the requests that ran.
     std::vector<std::string> seen(const std::string &header);
 
 private:
@@ -187,11 +188,11 @@
     std::function<void(const std::string &)> back_ = [](const std::string &) {};
     std::vector<TargetEnd> ends_;
     std::string endsUnder_;
-    /// When the run that is in progress ends.
+    /// When the present incarnation ends.
     std::optional<Model::SteadyTime> endAt_;
-    bool isOver_ = false;
+    bool isStopping_ = false;
     int run_ = 1;
-    std::unique_ptr<Served> served_;
+    std::unique_ptr<ServerThread> served_;
     Model::Address address_;
     std::thread supervisor_;
 };
--- a/Tests/Platform/TestCrashes.cpp
+++ b/Tests/Platform/TestCrashes.cpp
@@ -13,30 +13,30 @@
 using Model::SteadyTime;
 using PlatformStandIns::Fleet;
 
-/// By the platform's terms: so long after the third target ended under a request it reaches targets
-/// no more often than this.
-constexpr Milliseconds knownWithin{4000};
-constexpr std::size_t mostAfter = 3;
-constexpr Milliseconds pauseBetween{250};
-constexpr Milliseconds patience{10000};
+/// The platform's bound: after this time from the third crash under a request, the request crashes
+/// at most maxCrashesAfterBound more targets.
+constexpr Milliseconds quarantineBound{4000};
+constexpr std::size_t maxCrashesAfterBound = 3;
+constexpr Milliseconds sendInterval{250};
+constexpr Milliseconds waitTimeout{10000};
 
 class TestCrashes : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestCrashes);
-    CPPUNIT_TEST(readThatEndsTargetsIsKeptFromThem);
-    CPPUNIT_TEST(orderThatEndsTargetsIsKeptFromThem);
-    CPPUNIT_TEST(longBodyThatEndsTargetsIsKeptFromThemAndOthersAreNot);
-    CPPUNIT_TEST(refusalComesAtOnceAndOthersAreServed);
-    CPPUNIT_TEST(fleetThatStartsAnewKnowsFromTheStore);
-    CPPUNIT_TEST(freshInstanceThatTheStoreRefusesKnowsFromPeers);
-    CPPUNIT_TEST(frozenInstanceKnowsSoonAfterItWakes);
+    CPPUNIT_TEST(readThatCrashesTargetsIsQuarantined);
+    CPPUNIT_TEST(orderThatCrashesTargetsIsQuarantined);
+    CPPUNIT_TEST(onlyTheLongBodyThatCrashesTargetsIsQuarantined);
+    CPPUNIT_TEST(quarantinedRequestIsRefusedAtOnceAndOthersAreServed);
+    CPPUNIT_TEST(restartedFleetLoadsQuarantinesFromTheStore);
+    CPPUNIT_TEST(freshInstanceThatTheStoreRefusesLoadsQuarantinesFromPeers);
+    CPPUNIT_TEST(frozenInstanceAppliesQuarantinesSoonAfterItResumes);
     CPPUNIT_TEST(requestOnTargetsThatAreKilledTogetherIsServed);
     CPPUNIT_TEST(requestOnTargetsThatDrainIsServed);
-    CPPUNIT_TEST(operatorsLiftAQuarantineEverywhere);
+    CPPUNIT_TEST(operatorsReleaseAQuarantineEverywhere);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// Starts instances, and targets that end under requests for paths that begin with \a path.
+    /// Starts instances, and targets that crash under requests whose path begins with \a path.
     static void serveWith(Fleet &fleet, std::size_t instances, const std::string &path)
     {
         CPPUNIT_ASSERT(
@@ -45,8 +45,8 @@
             target->setFaults({.endsUnder_ = path});
     }
 
-    /// When targets ended under requests, in order.
-    static std::vector<SteadyTime> endsOf(Fleet &fleet)
+    /// Returns when targets crashed under requests, in order of time.
+    static std::vector<SteadyTime> crashTimesOf(Fleet &fleet)
     {
         std::vector<SteadyTime> all;
         for (const auto &target : fleet.targets_) {
@@ -57,43 +57,43 @@
         return all;
     }
 
-    /// Sends \a path by turns through all instances for \a length.
-    static void sendAgainAndAgain(Fleet &fleet, const std::string &path, Milliseconds length)
+    /// Sends \a path round robin through all instances for \a length.
+    static void sendRepeatedly(Fleet &fleet, const std::string &path, Milliseconds length)
     {
         static int number = 0;
         const auto until = std::chrono::steady_clock::now() + length;
         for (std::size_t i = 0; std::chrono::steady_clock::now() < until; ++i) {
             const auto &instance = *fleet.instances_[i % fleet.instances_.size()];
             fleet.sendTo(instance, path, "again-" + std::to_string(++number));
-            Harness::pause(pauseBetween);
+            Harness::pause(sendInterval);
         }
     }
 
-    static void assertFewEnd(Fleet &fleet)
+    static void assertCrashesAreBounded(Fleet &fleet)
     {
-        const auto ends = endsOf(fleet);
+        const auto ends = crashTimesOf(fleet);
         CPPUNIT_ASSERT(ends.size() >= 3);
         const auto after = std::count_if(ends.begin(), ends.end(), [&](SteadyTime time) {
-            return time > ends[2] + knownWithin;
+            return time > ends[2] + quarantineBound;
         });
         CPPUNIT_ASSERT_MESSAGE(std::to_string(ends.size()) + " ended, " + std::to_string(after)
-                                   + " of them too late",
-                               static_cast<std::size_t>(after) <= mostAfter);
+                                   + " of them after the bound",
+                               static_cast<std::size_t>(after) <= maxCrashesAfterBound);
     }
 
-    static void assertKeptFromTargets(const std::string &path)
+    static void assertQuarantined(const std::string &path)
     {
         Fleet fleet;
         serveWith(fleet, 4, path);
-        sendAgainAndAgain(fleet, path, Milliseconds(9000));
-        assertFewEnd(fleet);
+        sendRepeatedly(fleet, path, Milliseconds(9000));
+        assertCrashesAreBounded(fleet);
     }
 
-    // Guards against sending a request under which targets end to one target after the other.
-    void readThatEndsTargetsIsKeptFromThem() { assertKeptFromTargets("/read/poison"); }
-    void orderThatEndsTargetsIsKeptFromThem() { assertKeptFromTargets("/order/poison"); }
+    // Guards against retrying a poison request on one target after another.
+    void readThatCrashesTargetsIsQuarantined() { assertQuarantined("/read/poison"); }
+    void orderThatCrashesTargetsIsQuarantined() { assertQuarantined("/order/poison"); }
 
-    static bool isKept(const std::optional<Http::Response> &answer)
+    static bool isRefusedAsQuarantined(const std::optional<Http::Response> &answer)
     {
         return answer && answer->result() == status::service_unavailable
                && (*answer)["Cassiacrank-Code"] == "213";
@@ -106,14 +106,14 @@
         return fleet.sendTo(instance, "/read/poison", "poison-" + std::to_string(++number));
     }
 
-    /// Sends the request under which targets end until every instance keeps it from them.
+    /// Sends the poison request until every instance refuses it.
     static void quarantine(Fleet &fleet)
     {
         serveWith(fleet, 4, "/read/poison");
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return std::all_of(fleet.instances_.begin(), fleet.instances_.end(),
                                [&](const auto &instance) {
-                                   return isKept(sendPoison(fleet, *instance));
+                                   return isRefusedAsQuarantined(sendPoison(fleet, *instance));
                                })
                    && quarantinesAt(*fleet.instances_[0]).size() == 1;
         }));
@@ -140,8 +140,8 @@
         }
     }
 
-    // Guards against blaming a path for one of the bodies that are sent there.
-    void longBodyThatEndsTargetsIsKeptFromThemAndOthersAreNot()
+    // Guards against a quarantine of a whole path because of one request body.
+    void onlyTheLongBodyThatCrashesTargetsIsQuarantined()
     {
         Fleet fleet;
         serveWith(fleet, 2, "/order/poison");
@@ -151,21 +151,21 @@
             const auto &instance = *fleet.instances_[static_cast<std::size_t>(++number) % 2];
             return fleet.sendTo(instance, "/order/poison", "long-" + std::to_string(number), what);
         };
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
-            return isKept(send(body));
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
+            return isRefusedAsQuarantined(send(body));
         }));
-        // Only the body tells them apart, and this one ends nothing.
+        // The requests differ in the body alone, and targets no longer crash.
         for (const auto &target : fleet.targets_)
             target->setFaults({});
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             const auto answer = send(body + "y");
             return answer && answer->result() == status::ok;
         }));
-        CPPUNIT_ASSERT(isKept(send(body)));
+        CPPUNIT_ASSERT(isRefusedAsQuarantined(send(body)));
     }
 
-    // Guards against holding back what is refused, and against refusing what ran beside it.
-    void refusalComesAtOnceAndOthersAreServed()
+    // Guards against delayed refusals, and against refusing requests that ran on the same targets.
+    void quarantinedRequestIsRefusedAtOnceAndOthersAreServed()
     {
         Fleet fleet;
         serveWith(fleet, 4, "/read/poison");
@@ -192,86 +192,86 @@
         for (std::size_t i = 0; std::chrono::steady_clock::now() < until; ++i) {
             const auto sentAt = std::chrono::steady_clock::now();
             const auto answer = sendPoison(fleet, *fleet.instances_[i % fleet.instances_.size()]);
-            if (isKept(answer)) {
+            if (isRefusedAsQuarantined(answer)) {
                 ++kept;
                 const auto took = std::chrono::steady_clock::now() - sentAt;
                 slowest = std::max(slowest, std::chrono::duration_cast<Milliseconds>(took));
                 CPPUNIT_ASSERT(!(*answer)[Http::http::field::retry_after].empty());
             }
-            Harness::pause(pauseBetween);
+            Harness::pause(sendInterval);
         }
         for (auto &thread : others)
             thread.join();
-        const double part = double(served) / std::max(1, sent.load());
+        const double servedShare = double(served) / std::max(1, sent.load());
         const std::string seen = std::to_string(kept) + " refused, slowest after "
                                  + std::to_string(slowest.count()) + " ms; others served "
-                                 + std::to_string(part) + " of " + std::to_string(sent) + "; ended "
-                                 + std::to_string(endsOf(fleet).size());
+                                 + std::to_string(servedShare) + " of " + std::to_string(sent)
+                                 + "; ended " + std::to_string(crashTimesOf(fleet).size());
         std::cout << " (" << seen << ")";
         CPPUNIT_ASSERT_MESSAGE(seen, kept > 5);
         CPPUNIT_ASSERT_MESSAGE(seen, slowest < Milliseconds(500));
-        CPPUNIT_ASSERT_MESSAGE(seen, part >= 0.97);
-        assertFewEnd(fleet);
+        CPPUNIT_ASSERT_MESSAGE(seen, servedShare >= 0.97);
+        assertCrashesAreBounded(fleet);
     }
 
-    // Guards against a fleet that forgets, when all of it is killed, what ended targets.
-    void fleetThatStartsAnewKnowsFromTheStore()
+    // Guards against a fleet that loses its quarantines when all instances are killed.
+    void restartedFleetLoadsQuarantinesFromTheStore()
     {
         Fleet fleet;
         quarantine(fleet);
-        // What is written is written within a moment of the verdict.
+        // Leaves time for the write to the store, which follows the quarantine decision.
         Harness::pause(Milliseconds(1000));
         for (const auto &instance : fleet.instances_)
             instance->process_->kill();
-        const auto ended = endsOf(fleet).size();
+        const auto ended = crashTimesOf(fleet).size();
         for (const auto &instance : fleet.instances_)
             instance->process_->start();
         for (const auto &instance : fleet.instances_) {
-            CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
-                return isKept(sendPoison(fleet, *instance));
+            CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
+                return isRefusedAsQuarantined(sendPoison(fleet, *instance));
             }));
         }
-        CPPUNIT_ASSERT_EQUAL(ended, endsOf(fleet).size());
+        CPPUNIT_ASSERT_EQUAL(ended, crashTimesOf(fleet).size());
         assertServed(fleet, "/read/x");
     }
 
-    void freshInstanceThatTheStoreRefusesKnowsFromPeers()
+    void freshInstanceThatTheStoreRefusesLoadsQuarantinesFromPeers()
     {
         Fleet fleet;
         quarantine(fleet);
         PlatformStandIns::StoreFaults down;
         down.isRefusing_ = true;
         fleet.store_.setFaults(down);
-        const auto ended = endsOf(fleet).size();
+        const auto ended = crashTimesOf(fleet).size();
         const auto &fresh = fleet.startOne();
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
-            return isKept(sendPoison(fleet, fresh));
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
+            return isRefusedAsQuarantined(sendPoison(fleet, fresh));
         }));
-        CPPUNIT_ASSERT_EQUAL(ended, endsOf(fleet).size());
+        CPPUNIT_ASSERT_EQUAL(ended, crashTimesOf(fleet).size());
     }
 
-    // Guards against an instance that was cut off and goes on as if nothing had happened.
-    void frozenInstanceKnowsSoonAfterItWakes()
+    // Guards against an instance that resumes after a pause without the quarantines made meanwhile.
+    void frozenInstanceAppliesQuarantinesSoonAfterItResumes()
     {
         Fleet fleet;
         serveWith(fleet, 4, "/read/poison");
         auto &frozen = *fleet.instances_[1];
         frozen.process_->signal(SIGSTOP);
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
-            return isKept(sendPoison(fleet, *fleet.instances_[0]))
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
+            return isRefusedAsQuarantined(sendPoison(fleet, *fleet.instances_[0]))
                    && quarantinesAt(*fleet.instances_[0]).size() == 1;
         }));
         Harness::pause(Milliseconds(1000));
         frozen.process_->signal(SIGCONT);
-        CPPUNIT_ASSERT(Harness::waitUntil(knownWithin, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(quarantineBound, [&] {
             return quarantinesAt(frozen).size() == 1;
         }));
-        const auto ended = endsOf(fleet).size();
-        CPPUNIT_ASSERT(isKept(sendPoison(fleet, frozen)));
-        CPPUNIT_ASSERT_EQUAL(ended, endsOf(fleet).size());
+        const auto ended = crashTimesOf(fleet).size();
+        CPPUNIT_ASSERT(isRefusedAsQuarantined(sendPoison(fleet, frozen)));
+        CPPUNIT_ASSERT_EQUAL(ended, crashTimesOf(fleet).size());
     }
 
-    static void assertNobodyAccused(Fleet &fleet)
+    static void assertNothingQuarantined(Fleet &fleet)
     {
         for (const auto &instance : fleet.instances_) {
             CPPUNIT_ASSERT(quarantinesAt(*instance).empty());
@@ -280,7 +280,7 @@
         }
     }
 
-    // Guards against blaming a request for targets that were killed while it was there.
+    // Guards against a quarantine of a request that was in progress on targets that were killed.
     void requestOnTargetsThatAreKilledTogetherIsServed()
     {
         Fleet fleet;
@@ -306,7 +306,7 @@
         }
         for (auto &caller : callers)
             caller.join();
-        assertNobodyAccused(fleet);
+        assertNothingQuarantined(fleet);
         Harness::pause(Milliseconds(1500));
         assertServed(fleet, "/read/same");
     }
@@ -324,7 +324,7 @@
                 fleet.sendTo(instance, "/read/same", "d" + std::to_string(i));
             }
         });
-        // One after the other leaves, and ends with the request in progress.
+        // Targets drain one after another, and each ends with a request in progress.
         for (std::size_t i = 0; i < 6; ++i) {
             auto &target = *fleet.targets_[i];
             fleet.registerTarget(target, "r-a", "draining");
@@ -333,11 +333,11 @@
         }
         isOver = true;
         caller.join();
-        assertNobodyAccused(fleet);
+        assertNothingQuarantined(fleet);
         assertServed(fleet, "/read/same");
     }
 
-    void operatorsLiftAQuarantineEverywhere()
+    void operatorsReleaseAQuarantineEverywhere()
     {
         Fleet fleet;
         quarantine(fleet);
@@ -356,12 +356,12 @@
         const auto lifted = Http::sendAndWait(lift);
         CPPUNIT_ASSERT(lifted && lifted->result() == status::ok);
         for (const auto &instance : fleet.instances_) {
-            CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+            CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
                 const auto answer = sendPoison(fleet, *instance);
                 return answer && answer->result() == status::ok;
             }));
         }
-        // There is none to lift any more, and no such thing.
+        // The quarantine is already released, and "none" is no fingerprint.
         for (const std::string &what : {lift.target_, std::string("/quarantines/none")}) {
             lift.target_ = what;
             const auto refused = Http::sendAndWait(lift);
--- a/Tests/Platform/TestLargeFleet.cpp
+++ b/Tests/Platform/TestLargeFleet.cpp
@@ -11,16 +11,16 @@
 using PlatformStandIns::Fleet;
 using PlatformStandIns::FleetInstance;
 
-constexpr Milliseconds patience{10000};
-/// What must be known of a change everywhere, by the platform's bounds.
+constexpr Milliseconds waitTimeout{10000};
+/// The platform's bound for applying a change at every instance.
 constexpr Milliseconds applyBound{2500};
-/// More than read the store each for itself.
-constexpr std::size_t size = 20;
+/// Large enough that only selected instances read the store.
+constexpr std::size_t fleetSize = 20;
 
 class TestLargeFleet : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestLargeFleet);
-    CPPUNIT_TEST(fewReadTheStoreOfALargeFleetAndAllKnow);
+    CPPUNIT_TEST(fewInstancesReadTheStoreAndAllApplyChanges);
     CPPUNIT_TEST(leaveIsInForceWhereReadersStop);
     CPPUNIT_TEST_SUITE_END();
 
@@ -39,16 +39,16 @@
         return readers;
     }
 
-    // Guards against a fleet in which everybody reads the store, and against news that waits.
-    void fewReadTheStoreOfALargeFleetAndAllKnow()
+    // Guards against a fleet in which every instance reads the store, and against delayed updates.
+    void fewInstancesReadTheStoreAndAllApplyChanges()
     {
         Fleet fleet;
-        CPPUNIT_ASSERT(fleet.serve(size, {"t1", "t2"}));
+        CPPUNIT_ASSERT(fleet.serve(fleetSize, {"t1", "t2"}));
         const std::size_t readers = 2 * Policy::readersInRegion;
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return readersOf(fleet).size() == readers;
         }));
-        // Calls that were begun before the readers were settled end within their longest wait.
+        // Calls that began before the readers were selected end within their maximum wait.
         Harness::pause(Milliseconds(9000));
         const int before = fleet.store_.calls();
         auto &leaving = *fleet.targets_[0];
@@ -58,22 +58,22 @@
         const int calls = fleet.store_.calls() - before;
         CPPUNIT_ASSERT_MESSAGE(std::to_string(calls), calls <= 4 * static_cast<int>(readers));
         const auto runs = leaving.runCount();
-        for (std::size_t i = 0; i < 2 * size; ++i) {
-            const auto answer = fleet.send(*fleet.instances_[i % size], "added",
+        for (std::size_t i = 0; i < 2 * fleetSize; ++i) {
+            const auto answer = fleet.send(*fleet.instances_[i % fleetSize], "added",
                                            "a" + std::to_string(i), 2000, std::to_string(i));
             CPPUNIT_ASSERT(answer && answer->result() == status::ok);
         }
         CPPUNIT_ASSERT_EQUAL(runs, leaving.runCount());
     }
 
-    // Guards against news that is lost with the readers that had it: all but one of a region's
-    // readers stop at the moment of the leave, and that one still gathers the news before it.
+    // Guards against updates that are lost with the readers that hold them: all but one of a
+    // region's readers stop when a target leaves, while the last one still batches earlier updates.
     void leaveIsInForceWhereReadersStop()
     {
         Fleet fleet;
-        CPPUNIT_ASSERT(fleet.serve(size, {"t1", "t2"}));
+        CPPUNIT_ASSERT(fleet.serve(fleetSize, {"t1", "t2"}));
         const std::size_t readers = 2 * Policy::readersInRegion;
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return readersOf(fleet).size() == readers;
         }));
         std::vector<const FleetInstance *> stopping;
@@ -90,8 +90,8 @@
         fleet.registerTarget(leaving, "r-a", "draining");
         Harness::pause(Policy::leaveBoundInLargeFleet);
         const auto runs = leaving.runCount();
-        for (std::size_t i = 0; i < 4 * size; ++i) {
-            const auto &instance = *fleet.instances_[i % size];
+        for (std::size_t i = 0; i < 4 * fleetSize; ++i) {
+            const auto &instance = *fleet.instances_[i % fleetSize];
             const bool isStopped
                 = std::find(stopping.begin(), stopping.end(), &instance) != stopping.end();
             if (!isStopped)
--- a/Tests/Platform/TestOnPlatform.cpp
+++ b/Tests/Platform/TestOnPlatform.cpp
@@ -13,32 +13,32 @@
 using PlatformStandIns::StoreFaults;
 using PlatformStandIns::TargetFaults;
 
-constexpr Milliseconds patience{10000};
-/// What must be known of a change everywhere, by the platform's bounds.
+constexpr Milliseconds waitTimeout{10000};
+/// The platform's bound for applying a change at every instance.
 constexpr Milliseconds applyBound{2500};
-/// So long after a fault of the store its bounds hold again, by the platform's terms.
-constexpr Milliseconds settled{4000};
+/// The platform's bounds hold again this long after a fault of the store.
+constexpr Milliseconds recoveryBound{4000};
 
 class TestOnPlatform : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestOnPlatform);
     CPPUNIT_TEST(configuredRoutesAreServedAndOthersAreNot);
-    CPPUNIT_TEST(lostAnswerIsNotSentAgainWhereItMayHaveRun);
-    CPPUNIT_TEST(lostAnswerIsAskedAgainWhereItMay);
+    CPPUNIT_TEST(unsafeRequestIsNotRetriedAfterALostAnswer);
+    CPPUNIT_TEST(safeRequestIsRetriedAfterALostAnswer);
     CPPUNIT_TEST(shedRequestGoesToAnotherTargetOrIsRefusedAsNotRun);
     CPPUNIT_TEST(refusalAfterALostAnswerDoesNotSayNotRun);
-    CPPUNIT_TEST(requestForAnEarlierRunIsNotRunByTheNext);
+    CPPUNIT_TEST(requestForAnEarlierIncarnationIsNotRunByTheNext);
     CPPUNIT_TEST(foreignAnswerNeverReachesACaller);
     CPPUNIT_TEST(leavingTargetGetsNoNewWork);
     CPPUNIT_TEST(changedConfigurationIsInForceEverywhere);
     CPPUNIT_TEST(instanceThatTheStoreRefusesLearnsFromPeers);
-    CPPUNIT_TEST(instanceThatTheStoreRefusesBelievesPeersThatATargetLeft);
-    CPPUNIT_TEST(newsOfAnOutageIsInForceAfterIt);
+    CPPUNIT_TEST(instanceThatTheStoreRefusesLearnsFromPeersThatATargetLeft);
+    CPPUNIT_TEST(changeDuringAnOutageIsInForceAfterIt);
     CPPUNIT_TEST(editAfterASilenceOfTheStoreIsInForceInTime);
     CPPUNIT_TEST(leaveAfterASilenceOfTheStoreIsKnownInTime);
     CPPUNIT_TEST(freshInstanceStartsFromPeersWhileTheStoreIsDown);
-    CPPUNIT_TEST(forgottenHistoryIsReadAnew);
-    CPPUNIT_TEST(callerThatLeavesCancelsWhatMayBeRepeated);
+    CPPUNIT_TEST(tableIsReadAgainAfterTheStoreDiscardsItsHistory);
+    CPPUNIT_TEST(callerThatDisconnectsCancelsASafeRequest);
     CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -47,8 +47,8 @@
         return answer ? answer->result() : status::unknown;
     }
 
-    /// Sends thirty requests for as many objects through the instances by turns; all are served.
-    static void sendByTurns(Fleet &fleet)
+    /// Sends 30 requests for 30 objects round robin through the instances and expects all served.
+    static void sendRoundRobin(Fleet &fleet)
     {
         for (std::size_t i = 0; i < 30; ++i) {
             const auto &instance = *fleet.instances_[i % fleet.instances_.size()];
@@ -62,7 +62,7 @@
     {
         Fleet fleet;
         auto &instance = fleet.startOne();
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return statusOf(fleet.send(instance, "read", "early")) == status::service_unavailable;
         }));
         CPPUNIT_ASSERT(!fleet.isReady(instance));
@@ -79,10 +79,9 @@
         CPPUNIT_ASSERT(left > 0 && left <= 1500);
     }
 
-    // Symptom: a release order books product out twice.
-    // Sequence: a target runs it and the answer is lost on the way.
-    // Cause: sending it again, to the same target or to another one.
-    void lostAnswerIsNotSentAgainWhereItMayHaveRun()
+    // Guards against running an unsafe request twice: a target runs it, the answer is lost, and a
+    // retry reaches the same target or another one.
+    void unsafeRequestIsNotRetriedAfterALostAnswer()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(1, {"t1", "t2"}));
@@ -97,17 +96,17 @@
         CPPUNIT_ASSERT_EQUAL(1, runs);
     }
 
-    void lostAnswerIsAskedAgainWhereItMay()
+    void safeRequestIsRetriedAfterALostAnswer()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(1, {"t1", "t2"}));
-        auto &gone = *fleet.targets_[0];
-        // Credit for second attempts is earned by requests.
+        auto &faultyTarget = *fleet.targets_[0];
+        // The retry budget grows with the number of requests.
         for (int i = 0; i < 60; ++i) {
             fleet.send(*fleet.instances_[0], "read", "e" + std::to_string(i), 2000,
                        std::to_string(i));
         }
-        gone.setFaults({.isTruncating_ = true});
+        faultyTarget.setFaults({.isTruncating_ = true});
         int served = 0;
         for (int i = 0; i < 4; ++i) {
             const auto answer = fleet.send(*fleet.instances_[0], "read", "r" + std::to_string(i),
@@ -115,8 +114,8 @@
             served += statusOf(answer) == status::ok ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(4, served);
-        CPPUNIT_ASSERT(gone.runs().contains("r0") || gone.runs().contains("r1")
-                       || gone.runs().contains("r2") || gone.runs().contains("r3"));
+        CPPUNIT_ASSERT(faultyTarget.runs().contains("r0") || faultyTarget.runs().contains("r1")
+                       || faultyTarget.runs().contains("r2") || faultyTarget.runs().contains("r3"));
     }
 
     void shedRequestGoesToAnotherTargetOrIsRefusedAsNotRun()
@@ -136,10 +135,9 @@
             CPPUNIT_ASSERT_EQUAL(0, target->runs()["o2"]);
     }
 
-    // Symptom: a caller is told that its request has not run, and it has.
-    // Sequence: a target runs a request that may be repeated and its answer is cut short; the
-    //   second target is full and refuses.
-    // Cause: telling the outcome of the last attempt for that of all.
+    // Guards against reporting "not run" for a request that ran: the first target runs a safe
+    // request and truncates its answer, and the second target refuses the retry. The caller must
+    // not get the outcome of the last attempt alone.
     void refusalAfterALostAnswerDoesNotSayNotRun()
     {
         Fleet fleet;
@@ -164,10 +162,9 @@
         CPPUNIT_ASSERT(ranAndAnswered > 0);
     }
 
-    // Symptom: a request is run by a target of another service.
-    // Sequence: a target ends and its address goes to another one before the store tells of it.
-    // Cause: sending to an address without saying who is meant.
-    void requestForAnEarlierRunIsNotRunByTheNext()
+    // Guards against a request that is run by a target of another service: a target ends, and its
+    // address is reused before the store reports it. Requests must name the expected incarnation.
+    void requestForAnEarlierIncarnationIsNotRunByTheNext()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(1, {"t1"}));
@@ -176,16 +173,15 @@
         const auto answer = fleet.send(*fleet.instances_[0], "order", "o1");
         CPPUNIT_ASSERT(statusOf(answer) == status::service_unavailable);
         CPPUNIT_ASSERT_EQUAL(0, target.runs()["o1"]);
-        // Whoever asks why it was refused finds who turned it away.
+        // The log names the target that refused the request.
         const auto &process = *fleet.instances_[0]->process_;
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return process.log().find("target=t1 target_status=421") != std::string::npos;
         }));
     }
 
-    // Symptom: a pilot gets a customs officer's figure.
-    // Sequence: a target answers with the id of another request.
-    // Cause: taking whatever answer comes next on the connection.
+    // Guards against handing a caller the answer to another caller's request: a target answers with
+    // the id of another request, and the next answer on the connection is accepted unchecked.
     void foreignAnswerNeverReachesACaller()
     {
         Fleet fleet;
@@ -206,7 +202,7 @@
         fleet.registerTarget(leaving, "r-a", "draining");
         Harness::pause(applyBound);
         const auto before = leaving.runCount();
-        sendByTurns(fleet);
+        sendRoundRobin(fleet);
         CPPUNIT_ASSERT_EQUAL(before, leaving.runCount());
     }
 
@@ -218,14 +214,14 @@
         Harness::pause(applyBound);
         for (const auto &instance : fleet.instances_)
             CPPUNIT_ASSERT(statusOf(fleet.send(*instance, "added", "a")) == status::ok);
-        // An older version never comes back, whoever offers it.
+        // An older version is never applied, whatever its source.
         fleet.configure(3);
         Harness::pause(applyBound);
         for (const auto &instance : fleet.instances_)
             CPPUNIT_ASSERT(statusOf(fleet.send(*instance, "added", "b")) == status::ok);
     }
 
-    /// Starts an instance to which the store is \a refusing, one that refuses every call.
+    /// Starts an instance whose store is \a refusing, which refuses every call.
     static PlatformStandIns::FleetInstance &startRefused(Fleet &fleet,
                                                          PlatformStandIns::Store &refusing)
     {
@@ -233,22 +229,22 @@
         faults.isRefusing_ = true;
         refusing.setFaults(faults);
         auto &refused = fleet.startOne(refusing.address());
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return statusOf(fleet.send(refused, "read", "r")) == status::ok;
         }));
         return refused;
     }
 
-    // Guards against taking an instance's own failed calls for an outage of the store.
-    void instanceThatTheStoreRefusesBelievesPeersThatATargetLeft()
+    // Guards against considering the local instance's failed calls an outage of the store.
+    void instanceThatTheStoreRefusesLearnsFromPeersThatATargetLeft()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(3, {"t1", "t2"}));
         PlatformStandIns::Store refusing("127.0.0.1");
         const auto &refused = startRefused(fleet, refusing);
-        // Until then the peers have not read the store for long enough to tell a leave from a
-        // lapse.
-        Harness::pause(settled);
+        // Before this, the peers have not read the store for long enough to distinguish a target
+        // that left from an expired registration.
+        Harness::pause(recoveryBound);
         const auto &leaving = *fleet.targets_[0];
         fleet.store_.remove("servers", leaving.id());
         const auto hasDropped = [&] {
@@ -265,7 +261,7 @@
         }
     }
 
-    // Guards against an instance that knows only what the store itself told.
+    // Guards against an instance that applies only what it reads from the store itself.
     void instanceThatTheStoreRefusesLearnsFromPeers()
     {
         Fleet fleet;
@@ -285,10 +281,10 @@
         CPPUNIT_ASSERT_EQUAL(before, leaving.runCount());
     }
 
-    // Symptom: after an outage of the store an instance goes on with what it knew before.
-    // Sequence: a change is written while every call is refused; then the store serves again.
-    // Cause: waiting on for news from a position that was never reached.
-    void newsOfAnOutageIsInForceAfterIt()
+    // Guards against instances that keep stale state after an outage of the store: a change is
+    // written while the store refuses every call, and an instance then waits for changes after a
+    // revision that it never reached.
+    void changeDuringAnOutageIsInForceAfterIt()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(3, {"t1"}));
@@ -308,12 +304,10 @@
         }
     }
 
-    // Symptom: a configuration that was accepted after an outage is not in force six seconds later,
-    //   anywhere.
-    // Sequence: a change makes all instances ask at the same moment; soon after it the store falls
-    //   silent for four and a half seconds; just after its return a configuration is accepted.
-    // Cause: calls that wait eight seconds at a store that will never answer them, begun before the
-    //   silence or, as a first try after it, in it.
+    // Guards against a configuration that is accepted after an outage and not in force at any
+    // instance 6 s later. A change makes all instances call the store at the same moment; soon
+    // after, the store is silent for 4.5 s. Calls begun before the silence, or retried first during
+    // it, wait 8 s for an answer that never comes.
     void editAfterASilenceOfTheStoreIsInForceInTime()
     {
         Fleet fleet;
@@ -333,13 +327,13 @@
             CPPUNIT_ASSERT(statusOf(fleet.send(*instance, "added", "x")) == status::ok);
     }
 
-    // Guards against calls for targets that hang at a store that fell silent for a moment.
+    // Guards against reads of the target table that hang after a short silence of the store.
     void leaveAfterASilenceOfTheStoreIsKnownInTime()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(3, {"t1", "t2"}));
         Harness::pause(Milliseconds(2500));
-        // After it the calls of all instances begin together.
+        // The change makes the calls of all instances begin together.
         fleet.addTarget("t3", "r-b");
         Harness::pause(Milliseconds(1000));
         StoreFaults silent;
@@ -347,12 +341,12 @@
         fleet.store_.setFaults(silent);
         Harness::pause(Milliseconds(500));
         fleet.store_.setFaults({});
-        Harness::pause(settled);
+        Harness::pause(recoveryBound);
         auto &leaving = *fleet.targets_[0];
         fleet.registerTarget(leaving, "r-a", "draining");
         Harness::pause(applyBound);
         const auto before = leaving.runCount();
-        sendByTurns(fleet);
+        sendRoundRobin(fleet);
         CPPUNIT_ASSERT_EQUAL(before, leaving.runCount());
     }
 
@@ -364,35 +358,34 @@
         down.isRefusing_ = true;
         fleet.store_.setFaults(down);
         auto &fresh = fleet.startOne();
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return statusOf(fleet.send(fresh, "read", "r")) == status::ok;
         }));
     }
 
-    void forgottenHistoryIsReadAnew()
+    void tableIsReadAgainAfterTheStoreDiscardsItsHistory()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(1, {"t1", "t2"}));
-        auto &gone = *fleet.targets_[0];
+        auto &removedTarget = *fleet.targets_[0];
         StoreFaults forgetful;
         forgetful.hasForgotten_ = true;
         fleet.store_.setFaults(forgetful);
-        fleet.store_.remove("servers", gone.id());
+        fleet.store_.remove("servers", removedTarget.id());
         fleet.configure(3, "added");
         Harness::pause(applyBound);
-        const auto before = gone.runCount();
+        const auto before = removedTarget.runCount();
         for (int i = 0; i < 20; ++i) {
             const auto answer = fleet.send(*fleet.instances_[0], "added", "a" + std::to_string(i),
                                            2000, std::to_string(i));
             CPPUNIT_ASSERT(statusOf(answer) == status::ok);
         }
-        CPPUNIT_ASSERT_EQUAL(before, gone.runCount());
+        CPPUNIT_ASSERT_EQUAL(before, removedTarget.runCount());
     }
 
-    // Symptom: targets stay busy with requests whose callers left.
-    // Sequence: a caller closes its connection while its request is worked on.
-    // Cause: nobody looks at the caller's connection before the answer is there.
-    void callerThatLeavesCancelsWhatMayBeRepeated()
+    // Guards against targets that stay busy with abandoned requests: a caller closes its connection
+    // while its request runs, and the entry checks the connection only once the answer arrives.
+    void callerThatDisconnectsCancelsASafeRequest()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(1, {"t1"}));
--- a/Tests/Platform/TestPlannedStops.cpp
+++ b/Tests/Platform/TestPlannedStops.cpp
@@ -13,18 +13,18 @@
 using Model::Milliseconds;
 using PlatformStandIns::Fleet;
 
-constexpr Milliseconds patience{10000};
+constexpr Milliseconds waitTimeout{10000};
 
 class TestPlannedStops : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestPlannedStops);
-    CPPUNIT_TEST(plannedStopFinishesWhatIsInProgress);
-    CPPUNIT_TEST(stopSignalWhileStartingEndsWell);
-    CPPUNIT_TEST(killedInstanceIsNoLongerNamed);
+    CPPUNIT_TEST(plannedStopFinishesRequestsInProgress);
+    CPPUNIT_TEST(stopSignalWhileStartingExitsCleanly);
+    CPPUNIT_TEST(killedInstanceIsRemovedFromLookups);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void plannedStopFinishesWhatIsInProgress()
+    void plannedStopFinishesRequestsInProgress()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(2, {"t1"}));
@@ -35,24 +35,26 @@
         auto answer = std::async(std::launch::async, [&] {
             return fleet.send(stopping, "order", "o1");
         });
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, [&] {
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, [&] {
             return target.runCount() > before;
         }));
         stopping.process_->signal(SIGTERM);
         const auto received = answer.get();
         CPPUNIT_ASSERT(received && received->result() == status::ok);
         CPPUNIT_ASSERT(!fleet.isReady(stopping));
-        // The other one names it no more, and it ends by itself inside the platform's grace.
-        const std::string gone = toText(stopping.entry());
+        // The other instance drops it from look-ups, and it exits within the platform's grace
+        // period.
+        const std::string stoppedEntry = toText(stopping.entry());
         CPPUNIT_ASSERT(Harness::waitUntil(Milliseconds(4000), [&] {
             const auto named = fleet.lookUp(*fleet.instances_[1], "r");
-            return !named.empty() && std::find(named.begin(), named.end(), gone) == named.end();
+            return !named.empty()
+                   && std::find(named.begin(), named.end(), stoppedEntry) == named.end();
         }));
         CPPUNIT_ASSERT_EQUAL(0, stopping.process_->wait(Milliseconds(6000)).value_or(-1));
     }
 
-    // Guards against a stop signal that ends a process with a failure while it still starts.
-    void stopSignalWhileStartingEndsWell()
+    // Guards against a failure exit code when a stop signal arrives during start-up.
+    void stopSignalWhileStartingExitsCleanly()
     {
         Fleet fleet;
         fleet.configure(1);
@@ -66,7 +68,7 @@
         CPPUNIT_ASSERT_EQUAL(0, mkfifo(path.c_str(), S_IRUSR | S_IWUSR));
         process.start();
         {
-            // Opens once the process has begun to read its settings.
+            // Opening blocks until the process begins to read its settings.
             std::ofstream pipe(path);
             process.signal(SIGTERM);
             Harness::pause(Milliseconds(100));
@@ -75,19 +77,19 @@
         CPPUNIT_ASSERT_EQUAL(0, process.wait(Milliseconds(6000)).value_or(-1));
     }
 
-    void killedInstanceIsNoLongerNamed()
+    void killedInstanceIsRemovedFromLookups()
     {
         Fleet fleet;
         CPPUNIT_ASSERT(fleet.serve(3, {"t1"}));
-        const std::string gone = toText(fleet.instances_[0]->entry());
-        const auto isNamed = [&] {
+        const std::string stoppedEntry = toText(fleet.instances_[0]->entry());
+        const auto isInLookups = [&] {
             const auto named = fleet.lookUp(*fleet.instances_[2], "r");
-            return std::find(named.begin(), named.end(), gone) != named.end();
+            return std::find(named.begin(), named.end(), stoppedEntry) != named.end();
         };
-        CPPUNIT_ASSERT(Harness::waitUntil(patience, isNamed));
+        CPPUNIT_ASSERT(Harness::waitUntil(waitTimeout, isInLookups));
         fleet.instances_[0]->process_->kill();
         CPPUNIT_ASSERT(Harness::waitUntil(Milliseconds(7000), [&] {
-            return !isNamed();
+            return !isInLookups();
         }));
         CPPUNIT_ASSERT(!fleet.lookUp(*fleet.instances_[2], "r").empty());
     }
--- a/Tests/Platform/TestTranslation.cpp
+++ b/Tests/Platform/TestTranslation.cpp
@@ -35,8 +35,8 @@
     CPPUNIT_TEST(evacuationsBecomeDrains);
     CPPUNIT_TEST(unreadableConfigurationsAreRefused);
     CPPUNIT_TEST(registrationsBecomeTargets);
-    CPPUNIT_TEST(startsOfTargetsAreRead);
-    CPPUNIT_TEST(registrationsOfOtherWritersNameNoTarget);
+    CPPUNIT_TEST(incarnationsOfTargetsAreRead);
+    CPPUNIT_TEST(malformedRegistrationsAreRefused);
     CPPUNIT_TEST(mutatedRegistrationsAreReadWholeOrRefused);
     CPPUNIT_TEST(loadReportsAreRead);
     CPPUNIT_TEST(lookupsAreReadAndAnswered);
@@ -113,7 +113,7 @@
                 {"status", {{"state", "ready"}, {"sequence", 4}, {"coldLeftMs", 0}}}};
     }
 
-    void startsOfTargetsAreRead()
+    void incarnationsOfTargetsAreRead()
     {
         auto entry = registration();
         const auto target = Adapter::decodeTarget(row("i-1", entry.dump()));
@@ -124,11 +124,10 @@
         CPPUNIT_ASSERT(Adapter::decodeTarget(row("i-1", entry.dump())));
     }
 
-    // Symptom: requests go to a target with a made-up number of slots, or an exception that nobody
-    // expects ends the process.
-    // Sequence: another program writes a registration that looks like one.
-    // Cause: a parser that turns true, 3.7 or a missing field into some number.
-    void registrationsOfOtherWritersNameNoTarget()
+    // Guards against a parser that converts true, 3.7 or a missing field to a number. When another
+    // program writes a malformed registration, requests would go to a target with an arbitrary
+    // number of slots, or an uncaught exception would end the process.
+    void malformedRegistrationsAreRefused()
     {
         const std::vector<std::pair<const char *, std::vector<json>>> damages = {
             {"/address", {7, nullptr, "", "host:80", "10.1.2.3", "10.1.2.3:0"}},
@@ -185,7 +184,7 @@
         CPPUNIT_ASSERT(!Adapter::loadIn(answer));
         answer.set("X-Cassiacrank-Server-Load", "3,2,8");
         const auto load = Adapter::loadIn(answer);
-        // One of the three is the request that this very answer belongs to.
+        // One of the three running requests is the one that this answer belongs to.
         CPPUNIT_ASSERT_EQUAL(std::int64_t(2), load->running_);
         CPPUNIT_ASSERT_EQUAL(std::int64_t(2), load->waiting_);
     }
