--- a/Tests/Integration/Load.h
+++ b/Tests/Integration/Load.h
@@ -7,7 +7,7 @@
 
 namespace Integration {
 
-/// One stream of a load, as a test names it.
+/// The parameters of one stream of a load profile.
 struct StreamOptions
 {
     std::string name_;
@@ -16,11 +16,11 @@
     int callerCount_ = 4;
     double rate_ = 50;
     std::string region_ = "Primorska";
-    /// Further lines of the profile.
+    /// Further lines of the stream's section.
     std::string more_;
 };
 
-/// Returns the section of a profile. Thread safety: any thread.
+/// Returns the stream's section of a load profile. Thread safety: any thread.
 inline std::string section(const Harness::Site &site, const StreamOptions &options)
 {
     return "[stream " + options.name_ + "]\nservice = " + options.service_ + "\ncaller = "
@@ -29,7 +29,7 @@
            + "\nsource = " + site.callerSource(options.region_) + "\n" + options.more_ + "\n";
 }
 
-/// What a finished load gave.
+/// The samples and the log of a finished load.
 struct LoadResult
 {
     std::vector<Harness::SampleLine> samples_;
@@ -39,7 +39,7 @@
     double wrong() const { return Harness::valueIn(log_, "stream=all", "wrong"); }
 };
 
-/// Waits for a load tool to end and reads what it wrote.
+/// Waits for a load tool to end and reads its samples and log.
 inline LoadResult finish(Harness::Site &site, Harness::Process &load, const std::string &name)
 {
     const auto code = load.wait(Model::Milliseconds(90000));
@@ -49,8 +49,8 @@
     return {std::move(samples), log};
 }
 
-/// Asserts what must hold in every test: no answer of another request, nothing run twice that must
-/// run once, and "not run" is true.
+/// Asserts the invariants of every test: no caller gets the answer to another request, no request
+/// that must run once runs twice, and no request reported as "not run" has run.
 inline void assertTruth(const LoadResult &result)
 {
     CPPUNIT_ASSERT_EQUAL_MESSAGE("wrong answers\n" + result.log_, 0.0, result.wrong());
--- a/Tests/Integration/TestCrashes.cpp
+++ b/Tests/Integration/TestCrashes.cpp
@@ -11,18 +11,19 @@
 using Model::Milliseconds;
 using Model::SteadyTime;
 
-/// So long after the third target ended under a request it reaches targets no more often than this.
-constexpr Milliseconds knownWithin{4000};
-constexpr std::size_t mostAfter = 3;
-constexpr Milliseconds pauseBetween{250};
-constexpr Milliseconds backAfter{1500};
+/// After this time from the third crash under a request, the request crashes at most
+/// maxCrashesAfterBound more targets.
+constexpr Milliseconds quarantineBound{4000};
+constexpr std::size_t maxCrashesAfterBound = 3;
+constexpr Milliseconds sendInterval{250};
+constexpr Milliseconds restartDelay{1500};
 
 SteadyTime steadyNow()
 {
     return std::chrono::steady_clock::now();
 }
 
-/// Starts targets that ended again, and remembers when they did.
+/// Restarts targets that crashed, and records when they crashed.
 class Supervisor
 {
 public:
@@ -35,7 +36,7 @@
     }
     ~Supervisor()
     {
-        isOver_ = true;
+        isStopping_ = true;
         thread_.join();
     }
     Supervisor(const Supervisor &) = delete;
@@ -51,7 +52,7 @@
     void run()
     {
         std::map<std::string, SteadyTime> endedAt;
-        while (!isOver_) {
+        while (!isStopping_) {
             for (auto &target : site_.targets()) {
                 auto &process = *target.process_;
                 if (process.isRunning() && process.wait(Milliseconds(0))) {
@@ -60,7 +61,7 @@
                     ends_.push_back(steadyNow());
                 }
                 const auto found = endedAt.find(process.name());
-                if (found != endedAt.end() && steadyNow() - found->second > backAfter) {
+                if (found != endedAt.end() && steadyNow() - found->second > restartDelay) {
                     endedAt.erase(found);
                     process.start();
                 }
@@ -72,12 +73,12 @@
     Site &site_;
     std::mutex mutex_;
     std::vector<SteadyTime> ends_;
-    std::atomic<bool> isOver_{false};
+    std::atomic<bool> isStopping_{false};
     std::thread thread_;
 };
 
-/// What callers send again and again.
-struct Repeated
+/// A request that callers send repeatedly.
+struct RequestOptions
 {
     verb method_ = verb::get;
     std::string path_;
@@ -88,13 +89,13 @@
 class TestDaemonCrashes : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestDaemonCrashes);
-    CPPUNIT_TEST(readThatEndsTargetsIsKeptFromThemEverywhere);
-    CPPUNIT_TEST(keyedOrderWithALongBodyIsKeptFromThemEverywhere);
+    CPPUNIT_TEST(readThatCrashesTargetsIsQuarantinedEverywhere);
+    CPPUNIT_TEST(keyedOrderWithALongBodyIsQuarantinedEverywhere);
     CPPUNIT_TEST_SUITE_END();
 
 public:
     static std::optional<Http::Response> send(const Harness::SiteInstance &instance,
-                                              const Repeated &what, const std::string &caller)
+                                              const RequestOptions &what, const std::string &caller)
     {
         static std::atomic<int> number{0};
         Http::SimpleRequest request;
@@ -115,19 +116,20 @@
         return answer ? std::string((*answer)[name]) : "";
     }
 
-    static bool isKept(const std::optional<Http::Response> &answer)
+    static bool isRefusedAsQuarantined(const std::optional<Http::Response> &answer)
     {
         return field(answer, "Cassiacrank-Code") == "213";
     }
 
-    /// Whether requests of other callers are served meanwhile.
-    static double partServed(Site &site, const std::function<bool()> &isOver)
+    /// Sends requests of other callers until \a isOver and returns the share that is served.
+    static double measureServedShare(Site &site, const std::function<bool()> &isOver)
     {
         std::size_t sent = 0;
         std::size_t served = 0;
         for (std::size_t i = 0; !isOver(); ++i) {
             const auto &instance = site.instances()[i % site.instances().size()];
-            const Repeated other{verb::get, "/gauging/tank/" + std::to_string(i % 40), "", false};
+            const RequestOptions other{verb::get, "/gauging/tank/" + std::to_string(i % 40), "",
+                                       false};
             const auto answer = send(instance, other, "pilot-" + std::to_string(i % 10));
             ++sent;
             served += field(answer, "Cassiacrank-Outcome") == "run" ? 1 : 0;
@@ -136,7 +138,7 @@
         return static_cast<double>(served) / static_cast<double>(std::max<std::size_t>(1, sent));
     }
 
-    static void assertKeptFromTargets(const Repeated &what)
+    static void assertQuarantined(const RequestOptions &what)
     {
         Harness::SiteOptions options;
         options.instances_ = 6;
@@ -147,7 +149,7 @@
         const auto until = steadyNow() + Milliseconds(9000);
         double served = 0;
         std::thread others([&] {
-            served = partServed(site, [&] {
+            served = measureServedShare(site, [&] {
                 return steadyNow() >= until;
             });
         });
@@ -156,37 +158,38 @@
         for (std::size_t i = 0; steadyNow() < until; ++i) {
             const auto sentAt = steadyNow();
             last = send(site.instances()[i % site.instances().size()], what, "harbour");
-            if (isKept(last)) {
+            if (isRefusedAsQuarantined(last)) {
                 const auto took = steadyNow() - sentAt;
                 slowest = std::max(slowest, std::chrono::duration_cast<Milliseconds>(took));
             }
-            Harness::pause(pauseBetween);
+            Harness::pause(sendInterval);
         }
         others.join();
         const auto ends = supervisor.ends();
         const auto after = std::count_if(ends.begin(), ends.end(), [&](SteadyTime time) {
-            return ends.size() >= 3 && time > ends[2] + knownWithin;
+            return ends.size() >= 3 && time > ends[2] + quarantineBound;
         });
         const std::string seen = std::to_string(ends.size()) + " ended, " + std::to_string(after)
-                                 + " of them too late, others served " + std::to_string(served)
-                                 + ", slowest refusal " + std::to_string(slowest.count()) + " ms";
+                                 + " of them after the bound, others served "
+                                 + std::to_string(served) + ", slowest refusal "
+                                 + std::to_string(slowest.count()) + " ms";
         CPPUNIT_ASSERT_MESSAGE(seen, ends.size() >= 3);
-        CPPUNIT_ASSERT_MESSAGE(seen, static_cast<std::size_t>(after) <= mostAfter);
+        CPPUNIT_ASSERT_MESSAGE(seen, static_cast<std::size_t>(after) <= maxCrashesAfterBound);
         CPPUNIT_ASSERT_MESSAGE(seen, served >= 0.95);
-        CPPUNIT_ASSERT_MESSAGE(seen, isKept(last));
+        CPPUNIT_ASSERT_MESSAGE(seen, isRefusedAsQuarantined(last));
         CPPUNIT_ASSERT_EQUAL(std::string("not-run"), field(last, "Cassiacrank-Outcome"));
         CPPUNIT_ASSERT(!field(last, "Retry-After").empty());
-        assertFreshInstanceKnows(site, what);
-        assertOperatorsCanLift(site);
+        assertFreshInstanceLoadsQuarantine(site, what);
+        assertOperatorsCanRelease(site);
     }
 
-    static void assertFreshInstanceKnows(Site &site, const Repeated &what)
+    static void assertFreshInstanceLoadsQuarantine(Site &site, const RequestOptions &what)
     {
         auto &fresh = site.instances()[1];
         CPPUNIT_ASSERT(site.stopInstance(fresh, Milliseconds(20000)));
         site.startInstance(fresh);
         CPPUNIT_ASSERT(site.waitUntilServing(fresh, Milliseconds(20000)));
-        CPPUNIT_ASSERT(isKept(send(fresh, what, "harbour")));
+        CPPUNIT_ASSERT(isRefusedAsQuarantined(send(fresh, what, "harbour")));
     }
 
     static Model::Address adminOf(const Harness::SiteInstance &instance)
@@ -194,7 +197,7 @@
         return {instance.host_, 7006};
     }
 
-    static void assertOperatorsCanLift(Site &site)
+    static void assertOperatorsCanRelease(Site &site)
     {
         const auto listAt = [&](const Harness::SiteInstance &instance) {
             const auto listed = Harness::getJson(adminOf(instance), "/quarantines");
@@ -202,13 +205,13 @@
         };
         const auto quarantined = listAt(site.instances()[0]);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), quarantined.size());
-        const auto print = quarantined.at(0).at("print").get<std::string>();
+        const auto fingerprint = quarantined.at(0).at("print").get<std::string>();
         const std::string ask = "--ask=" + toText(adminOf(site.instances()[0]));
         std::string listed;
         CPPUNIT_ASSERT_EQUAL(0, site.tablectl({"quarantines", ask}, &listed));
-        CPPUNIT_ASSERT_MESSAGE(listed, listed.find(print) != std::string::npos);
-        CPPUNIT_ASSERT_EQUAL(0, site.tablectl({"lift", print, ask}));
-        CPPUNIT_ASSERT_EQUAL(1, site.tablectl({"lift", print, ask}));
+        CPPUNIT_ASSERT_MESSAGE(listed, listed.find(fingerprint) != std::string::npos);
+        CPPUNIT_ASSERT_EQUAL(0, site.tablectl({"lift", fingerprint, ask}));
+        CPPUNIT_ASSERT_EQUAL(1, site.tablectl({"lift", fingerprint, ask}));
         CPPUNIT_ASSERT_EQUAL(1, site.tablectl({"lift", "none", ask}));
         for (const auto &instance : site.instances()) {
             CPPUNIT_ASSERT(Harness::waitUntil(Milliseconds(5000), [&] {
@@ -217,16 +220,15 @@
         }
     }
 
-    // Guards against daemons that send a request under which targets end to one after the other.
-    void readThatEndsTargetsIsKeptFromThemEverywhere()
+    // Guards against daemons that retry a poison request on one target after another.
+    void readThatCrashesTargetsIsQuarantinedEverywhere()
     {
-        assertKeptFromTargets({verb::get, "/gauging/poison", "", false});
+        assertQuarantined({verb::get, "/gauging/poison", "", false});
     }
 
-    void keyedOrderWithALongBodyIsKeptFromThemEverywhere()
+    void keyedOrderWithALongBodyIsQuarantinedEverywhere()
     {
-        assertKeptFromTargets(
-            {verb::post, "/transfers/poison", std::string(200 * 1024, 'x'), true});
+        assertQuarantined({verb::post, "/transfers/poison", std::string(200 * 1024, 'x'), true});
     }
 };
 
--- a/Tests/Integration/TestEdits.cpp
+++ b/Tests/Integration/TestEdits.cpp
@@ -12,17 +12,17 @@
 }
 
 /// Waits until every listed instance's entry uses the version; returns the seconds it took.
-double secondsUntilInForce(Site &site, std::uint64_t version, Milliseconds patience,
+double secondsUntilInForce(Site &site, std::uint64_t version, Milliseconds timeout,
                            const std::string &except = "none")
 {
     const auto start = std::chrono::steady_clock::now();
     for (auto &instance : site.instances()) {
         if (instance.row_.region_.value() == except)
             continue;
-        const bool isThere = Harness::waitUntil(patience, [&] {
+        const bool isInForce = Harness::waitUntil(timeout, [&] {
             return versionAt(instance) >= version;
         });
-        CPPUNIT_ASSERT_MESSAGE(instance.row_.id_.value(), isThere);
+        CPPUNIT_ASSERT_MESSAGE(instance.row_.id_.value(), isInForce);
     }
     return Model::inSeconds(std::chrono::steady_clock::now() - start);
 }
@@ -40,7 +40,7 @@
     CPPUNIT_TEST(editIsInForceEverywhereWithinTwoSeconds);
     CPPUNIT_TEST(cutRegionCatchesUpWithinFiveSeconds);
     CPPUNIT_TEST(editNeverReverts);
-    CPPUNIT_TEST(twoOperatorsOnOneCellNeverLoseAnEditSilently);
+    CPPUNIT_TEST(concurrentEditsOfOneCellNeverLoseAnEditSilently);
     CPPUNIT_TEST(lostConfirmationDoesNotApplyAnEditTwice);
     CPPUNIT_TEST_SUITE_END();
 
@@ -56,10 +56,9 @@
         }
     }
 
-    // Symptom: a region goes on with an old table after its links came back.
-    // Sequence: Primorska is cut off from the other regions and from the store; an edit is made;
-    //   the links heal.
-    // Cause: state that only flows in one direction, or backs off for too long.
+    // Guards against a region that keeps an old table after a partition heals: Primorska is cut off
+    // from the other regions and from the store while an edit is made. Updates that flow in one
+    // direction only, or a retry delay that is too long, keep it behind.
     void cutRegionCatchesUpWithinFiveSeconds()
     {
         Harness::SiteOptions options;
@@ -85,14 +84,13 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(seconds), seconds <= 5.0);
     }
 
-    // Symptom: an accepted edit is gone after a restart.
-    // Sequence: an edit is in force; the store answers reads with the state before it, then goes
-    //   down; in both times instances are killed and start afresh.
-    // Cause: a process that takes the table it is offered because it comes from the store, or the
-    //   first one of any peer.
+    // Guards against losing an accepted edit at a restart: with an edit in force, the store answers
+    // reads with the state before it, then goes down, and instances are killed and restarted in
+    // both phases. A process must not accept an older table because it comes from the store or
+    // because it is the first from any peer.
     void editNeverReverts()
     {
-        // The store answers long before the peers do.
+        // The delays make the store answer long before the peers do.
         Harness::SiteOptions options;
         options.hasProxy_ = true;
         options.delayBetweenDomainsMs_ = 150;
@@ -103,26 +101,27 @@
         edit(site, "queue_ms=302");
         secondsUntilInForce(site, 2, Milliseconds(5000));
         site.switchPlatform({{"stale", true}});
-        restartAfresh(site, "osrednja-a-1");
+        killAndRestart(site, "osrednja-a-1");
         // Long enough for every instance to poll the store several times.
         Harness::pause(Milliseconds(3000));
         assertVersionEverywhere(site, 2);
         site.switchPlatform({{"down", true}});
-        restartAfresh(site, "primorska-a-1");
-        restartAfresh(site, "stajerska-b-2");
+        killAndRestart(site, "primorska-a-1");
+        killAndRestart(site, "stajerska-b-2");
         assertVersionEverywhere(site, 2);
         site.switchPlatform({{"down", false}, {"stale", false}});
         assertVersionEverywhere(site, 2);
     }
 
-    /// Kills an instance; the new one must not serve a table older than what was in force.
-    static void restartAfresh(Site &site, const std::string &id)
+    /// Kills and restarts an instance, which must not serve a table older than the one in force.
+    static void killAndRestart(Site &site, const std::string &id)
     {
         auto &instance = site.instance(id);
         for (auto *process : instance.processes())
             process->kill();
         site.startInstance(instance);
-        // Looked at all the time: an old table that is served for a moment only is served.
+        // Reads the version as soon as the instance is ready, so that an old table served for a
+        // moment is found.
         const bool isReady = Harness::waitUntil(Milliseconds(15000), [&] {
             const auto status
                 = Harness::getJson({instance.host_, 7006}, "/status", Milliseconds(300));
@@ -139,10 +138,10 @@
             CPPUNIT_ASSERT_EQUAL_MESSAGE(instance.row_.id_.value(), version, versionAt(instance));
     }
 
-    // Symptom: an operator's accepted change vanishes, and nobody is told.
-    // Sequence: many operators change the same row at the same moment, each on what it last saw.
-    // Cause: writing without a condition on what was read.
-    void twoOperatorsOnOneCellNeverLoseAnEditSilently()
+    // Guards against silently losing an operator's accepted change: several operators change the
+    // same row at the same moment, each based on the version it last read, and a write carries no
+    // condition on that version.
+    void concurrentEditsOfOneCellNeverLoseAnEditSilently()
     {
         Harness::SiteOptions options;
         options.instances_ = 1;
@@ -159,15 +158,16 @@
                                          "queue_ms=" + std::to_string(400 + i)},
                 site.directory() + "/" + name + ".log"));
         }
-        for (auto &one : operators)
-            one->start();
+        for (auto &editProcess : operators)
+            editProcess->start();
         int accepted = 0;
-        for (auto &one : operators) {
-            const auto code = one->wait(Milliseconds(20000));
+        for (auto &editProcess : operators) {
+            const auto code = editProcess->wait(Milliseconds(20000));
             CPPUNIT_ASSERT(code);
             accepted += *code == 0 ? 1 : 0;
             if (*code != 0)
-                CPPUNIT_ASSERT_MESSAGE(one->log(), one->log().find("[408]") != std::string::npos);
+                CPPUNIT_ASSERT_MESSAGE(editProcess->log(),
+                                       editProcess->log().find("[408]") != std::string::npos);
         }
         CPPUNIT_ASSERT_EQUAL(1, accepted);
         std::string history;
@@ -176,9 +176,8 @@
         CPPUNIT_ASSERT_MESSAGE(history, history.find("version 3") == std::string::npos);
     }
 
-    // Symptom: an edit is in the audit trail twice.
-    // Sequence: the commit takes effect; its confirmation is lost; the tool tries again.
-    // Cause: repeating a write without knowing whether it happened.
+    // Guards against an edit that is in the audit trail twice: the commit takes effect, its
+    // confirmation is lost, and the tool retries the write without knowing whether it was applied.
     void lostConfirmationDoesNotApplyAnEditTwice()
     {
         Harness::SiteOptions options;
--- a/Tests/Integration/TestOverload.cpp
+++ b/Tests/Integration/TestOverload.cpp
@@ -8,7 +8,7 @@
 using Integration::section;
 using Model::Milliseconds;
 
-/// A region's gauging carries 60 slots / 100 ms = 600 requests a second.
+/// Requests per second of a region's gauging service: 60 slots / 100 ms.
 constexpr double capacity = 600;
 
 Harness::SiteOptions slowTargets()
@@ -18,9 +18,9 @@
     return options;
 }
 
-double shareTold(const std::vector<Harness::SampleLine> &lines, const std::string &told)
+double shareWithOutcome(const std::vector<Harness::SampleLine> &lines, const std::string &outcome)
 {
-    return double(Harness::countTold(lines, told)) / double(lines.size());
+    return double(Harness::countTold(lines, outcome)) / double(lines.size());
 }
 
 class TestOverload : public CppUnit::TestFixture
@@ -30,23 +30,22 @@
     CPPUNIT_TEST(smallCallersDoNotNoticeTenTimesTheCapacity);
     CPPUNIT_TEST(overloadIsRefusedAtOnceAndTheRestIsServed);
     CPPUNIT_TEST(deadTargetCostsAtMostOneAttempt);
-    CPPUNIT_TEST(lyingReportsDoNotOverfillTargets);
+    CPPUNIT_TEST(falseLoadReportsDoNotOverloadTargets);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a pilot's enquiry takes seconds, or is refused, while a partner sends its bulk.
-    // Sequence: partners send several times what the region carries, through all entries and over
-    //   many connections; pilots send a few requests a second.
-    // Cause: a common line, or slots that bulk fills to the last one.
-    void smallCallersDoNotNoticeBulk() { assertSmallUnharmed(4); }
+    // Guards against requests of small callers that take seconds or are refused while other callers
+    // send bulk: the bulk is several times the region's capacity, through all entries and over many
+    // connections. A common queue, or slots that bulk fills completely, cause it.
+    void smallCallersDoNotNoticeBulk() { assertSmallCallersUnaffected(4); }
 
-    // As above, with ten times what the region carries.
-    void smallCallersDoNotNoticeTenTimesTheCapacity() { assertSmallUnharmed(10); }
+    // As above, with ten times the region's capacity.
+    void smallCallersDoNotNoticeTenTimesTheCapacity() { assertSmallCallersUnaffected(10); }
 
-    static void assertSmallUnharmed(double factor)
+    static void assertSmallCallersUnaffected(double factor)
     {
-        // Fixed service times: every latency above them is a wait, and the percentiles do not
-        // scatter.
+        // With fixed service times, all latency above them is queueing, and the percentiles are
+        // stable.
         auto options = slowTargets();
         options.hasExponentialTimes_ = false;
         Site site(options);
@@ -77,9 +76,8 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(tail), tail < 1.2);
     }
 
-    // Symptom: under overload hardly anything is answered in time, or refusals come late.
-    // Sequence: 2 and then 5 times what the region carries.
-    // Cause: long queues whose requests are served after their callers gave up.
+    // Guards against low goodput and late refusals at 2 and 5 times the region's capacity. Long
+    // queues cause them, because requests are served after their callers gave up.
     void overloadIsRefusedAtOnceAndTheRestIsServed()
     {
         Site site(slowTargets());
@@ -98,7 +96,7 @@
             }
             const double goodput = answered / 6 / capacity;
             CPPUNIT_ASSERT_MESSAGE(name + " " + std::to_string(goodput), goodput > 0.85);
-            // Whoever is sure to wait longer than that limit is not made to wait at all.
+            // A request that is certain to exceed that limit is refused without a wait.
             const auto middle = refusals.begin() + std::ptrdiff_t(refusals.size() / 2);
             std::nth_element(refusals.begin(), middle, refusals.end());
             CPPUNIT_ASSERT_MESSAGE(name + " " + std::to_string(*middle), *middle < 100);
@@ -111,8 +109,8 @@
                + std::to_string(line.lateMs_);
     }
 
-    /// Plays \a factor times the capacity by several load tools. One alone takes half a core at
-    /// these rates; where it does not get that, its own lateness looks like the system's.
+    /// Plays \a factor times the capacity with several load tools. A single tool needs half a core
+    /// at these rates; with less, its own lateness looks like latency of the system.
     static std::vector<Harness::SampleLine> playInParts(Site &site, const std::string &name,
                                                         double factor)
     {
@@ -120,7 +118,7 @@
         std::vector<std::pair<std::string, std::unique_ptr<Harness::Process>>> loads;
         for (int i = 0; i < parts; ++i) {
             const std::string part = name + "-" + std::to_string(i);
-            // The targets of all loads are the same, so the requests need names of their own.
+            // All loads use the same targets, so each needs distinct request names.
             const int seed = static_cast<int>(factor) * parts + i;
             loads.emplace_back(part,
                                site.loadtool(part,
@@ -153,13 +151,13 @@
         site.target("gauging-06").process_->kill();
         const auto result = Integration::finish(site, *load, "dead");
         Integration::assertTruth(result);
-        CPPUNIT_ASSERT_MESSAGE(result.log_, shareTold(result.samples_, "run") > 0.99);
+        CPPUNIT_ASSERT_MESSAGE(result.log_, shareWithOutcome(result.samples_, "run") > 0.99);
     }
 
-    // Symptom: a target gets more than its slots and slows down for everyone.
-    // Sequence: targets report that they are idle whatever they do, under more load than they
-    // carry. Cause: believing a report before one's own observation.
-    void lyingReportsDoNotOverfillTargets()
+    // Guards against sending a target more requests than it has slots, which slows it down for all
+    // callers: overloaded targets report that they are idle, and the entry trusts the report over
+    // its local count.
+    void falseLoadReportsDoNotOverloadTargets()
     {
         Site site(slowTargets());
         site.start();
--- a/Tests/Integration/TestShifts.cpp
+++ b/Tests/Integration/TestShifts.cpp
@@ -18,10 +18,10 @@
     return options;
 }
 
-/// The largest gain of any failure domain between two windows, against what the cap allows between
-/// their middles. Counts of a window are whole requests; their share of the window is taken off.
-double shiftPeakOfCap(const std::vector<Harness::SampleLine> &samples, const Model::Table &table,
-                      double until)
+/// Returns the largest sum of the failure domains' gains between two windows, relative to what the
+/// cap allows between the middles of the windows.
+double maxShiftRelativeToCap(const std::vector<Harness::SampleLine> &samples,
+                             const Model::Table &table, double until)
 {
     constexpr double window = 1.0;
     constexpr double step = 0.5;
@@ -38,7 +38,7 @@
     return peak;
 }
 
-/// The part of the requests sent between two times that a target answered.
+/// Returns the share of the requests sent between two times that a target answered.
 double servedPart(const std::vector<Harness::SampleLine> &samples, double from, double until)
 {
     double served = 0;
@@ -57,7 +57,7 @@
     return site.table().domain(target.domain_)->region_.value() == region;
 }
 
-/// Kills every target and instance of a region without a word to anybody.
+/// Kills every target and instance of a region without a planned stop.
 void killRegion(Site &site, const std::string &region)
 {
     for (auto &target : site.targets()) {
@@ -86,7 +86,8 @@
     }
 }
 
-/// The part of the answered requests sent between two times that targets of a region answered.
+/// Returns the share of the answered requests, of those sent between two times, that targets of a
+/// region answered.
 double regionShare(const std::vector<Harness::SampleLine> &samples, const Site &site,
                    const std::string &region, double from, double until)
 {
@@ -105,13 +106,13 @@
     CPPUNIT_TEST(scheduledDrainKeepsTheCapAndEndsInTime);
     CPPUNIT_TEST(crashOfADomainMovesNoFasterThanTheCap);
     CPPUNIT_TEST(crashOfARegionMovesNoFasterThanTheCap);
-    CPPUNIT_TEST(returnOfARegionMovesNoFasterThanTheCap);
+    CPPUNIT_TEST(recoveryOfARegionMovesNoFasterThanTheCap);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a drain floods the other failure domain, or never ends.
-    // Sequence: a scheduled drain under load, with the store down and entries restarted on the way.
-    // Cause: steps that need the store, or entries that begin the shift anew.
+    // Guards against a drain that overloads the other failure domain or never ends: during a
+    // scheduled drain under load, the store goes down and an entry restarts. The shift must not
+    // need the store, and a restarted entry must not begin it again.
     void scheduledDrainKeepsTheCapAndEndsInTime()
     {
         Site site(siteWithCap());
@@ -130,13 +131,13 @@
         Harness::pause(Milliseconds(1500));
         site.switchPlatform({{"down", true}});
         Harness::pause(Milliseconds(1500));
-        // Half of the traffic at 10% a second: the shift is in its middle now.
+        // Half of the traffic moves at 10% per second: the shift is half done here.
         auto &instance = site.instance("primorska-b-2");
         instance.entry_->kill();
         instance.entry_->start();
         const auto result = Integration::finish(site, *load, "drain");
         Integration::assertTruth(result);
-        const double peak = shiftPeakOfCap(result.samples_, site.table(), 14);
+        const double peak = maxShiftRelativeToCap(result.samples_, site.table(), 14);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(peak), peak <= 1.1);
         const auto shares = Harness::domainShares(result.samples_, site.table(), 9.5, 14);
         const std::size_t drained = 2;
@@ -145,9 +146,9 @@
         CPPUNIT_ASSERT_EQUAL_MESSAGE("traffic left in the drained domain", 0.0, shares[drained]);
     }
 
-    // Symptom: when a failure domain dies, the other one gets all of its traffic at once.
-    // Sequence: all targets of a failure domain are killed under load.
-    // Cause: failing over without a limit. The rest must be refused at once, as not run.
+    // Guards against failover without a limit: when all targets of a failure domain are killed
+    // under load, the other domain gets all of its traffic at once. Requests above the cap must be
+    // refused at once as not run.
     void crashOfADomainMovesNoFasterThanTheCap()
     {
         Site site(siteWithCap());
@@ -162,7 +163,7 @@
         }
         const auto result = Integration::finish(site, *load, "crash");
         Integration::assertTruth(result);
-        // What the surviving domain serves, of all that is sent, grows no faster than the cap.
+        // The surviving domain's share of all requests sent grows no faster than the cap.
         const auto servedShare = [&](double from) {
             double served = 0;
             double sent = 0;
@@ -184,9 +185,8 @@
         }
     }
 
-    // Symptom: when a region dies, its callers flood the next one.
-    // Sequence: every process of a region, targets and instances, is killed under load.
-    // Cause: callers that fail over by themselves, past every cap.
+    // Guards against callers that overload the next region when every target and instance of their
+    // region is killed under load, because they fail over by themselves, past every cap.
     void crashOfARegionMovesNoFasterThanTheCap()
     {
         Site site(siteWithCap());
@@ -201,15 +201,15 @@
         for (double from = 4; from + 3 <= 20; from += 0.5) {
             const double rise = servedPart(result.samples_, from + 2, from + 3)
                                 - servedPart(result.samples_, from, from + 1);
-            // Three seconds lie between the ends of the windows.
+            // The span of the two windows is 3 s.
             CPPUNIT_ASSERT_MESSAGE(std::to_string(from) + ": " + std::to_string(rise),
                                    rise < cap * 3 + 0.1);
         }
         const auto late = Harness::domainShares(result.samples_, site.table(), 18, 20);
-        double elsewhere = 0;
+        double totalShare = 0;
         for (std::size_t i = 0; i < late.size(); ++i)
-            elsewhere += late[i];
-        CPPUNIT_ASSERT_MESSAGE(result.log_, elsewhere > 0.99);
+            totalShare += late[i];
+        CPPUNIT_ASSERT_MESSAGE(result.log_, totalShare > 0.99);
         std::string status;
         CPPUNIT_ASSERT_EQUAL(0, site.tablectl({"status"}, &status));
         for (const std::string part :
@@ -217,14 +217,12 @@
             CPPUNIT_ASSERT_MESSAGE(status, status.find(part) != std::string::npos);
     }
 
-    // Symptom: a region that comes back after a crash gets all of its callers at once, while its
-    //   targets are cold.
-    // Sequence: every process of a region is killed under load; its traffic moves to the other
-    //   regions; the region is started again.
-    // Cause: fresh entries that find no peer of their own region begin at the planned shares,
-    // though
-    //   the entries of the other regions know where the traffic stands.
-    void returnOfARegionMovesNoFasterThanTheCap()
+    // Guards against a region that gets all of its callers at once when it restarts after a crash,
+    // while its targets are cold: every process of the region is killed under load, its traffic
+    // moves to the other regions, and the region is started again. Fresh entries without a peer in
+    // the local region must not begin at the planned shares, because the entries of the other
+    // regions hold the present ones.
+    void recoveryOfARegionMovesNoFasterThanTheCap()
     {
         constexpr double fastCap = 0.2;
         constexpr int seconds = 24;
@@ -237,7 +235,7 @@
         load->start();
         Harness::pause(Milliseconds(1000));
         killRegion(site, "Primorska");
-        // Five seconds until it is believed dead, five for the move, and some to spare.
+        // 5 s until the region is considered failed, 5 s for the shift, and a margin.
         Harness::pause(Milliseconds(13000));
         startRegion(site, "Primorska");
         const auto result = Integration::finish(site, *load, "return");
--- a/Tests/Integration/TestStops.cpp
+++ b/Tests/Integration/TestStops.cpp
@@ -12,15 +12,14 @@
 {
     CPPUNIT_TEST_SUITE(TestStops);
     CPPUNIT_TEST(rollingReplacementCutsNoRequest);
-    CPPUNIT_TEST(entryServesSoonAfterItsControlProcessCame);
+    CPPUNIT_TEST(entryServesSoonAfterItsControlProcessStarts);
     CPPUNIT_TEST(leavingTargetGetsNoNewWork);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: requests fail during planned maintenance.
-    // Sequence: instances are stopped and started again one after the other under load, while
-    //   callers hold look-ups that name them.
-    // Cause: a process that closes its port before its callers know.
+    // Guards against requests that fail during planned maintenance: instances are replaced under
+    // load while callers hold look-ups that name them, and a process closes its port before its
+    // callers learn of the stop.
     void rollingReplacementCutsNoRequest()
     {
         Site site({});
@@ -40,11 +39,11 @@
         }
         const auto load = site.loadtool("rolling", profile, 18);
         load->start();
-        // All failure domains at once, one of the two instances of each: six stop together.
+        // One of the two instances in each failure domain: six stop together.
         CPPUNIT_ASSERT(site.replaceAllInstances(Milliseconds(20000)));
         const auto result = Integration::finish(site, *load, "rolling");
-        // A fresh entry that takes failure domains for lost would refuse requests, if only for
-        // a moment that no request may happen to meet.
+        // A fresh entry that considers failure domains out refuses requests, possibly for too short
+        // a time for a request of this load to show it.
         for (const auto &instance : site.instances()) {
             const std::string log = instance.entry_->log();
             CPPUNIT_ASSERT_MESSAGE(log, log.find("DomainOut") == std::string::npos);
@@ -55,12 +54,11 @@
                                      Harness::countTold(result.samples_, "run"));
     }
 
-    // Symptom: a replaced instance serves only 5 or 10 s after it was started.
-    // Sequence: entryd and lookupd start a moment before controld listens, so that their first
-    //   connection is refused; the second is made in time.
-    // Cause: between two calls that failed at once nobody looks at the second connection's socket
-    //   but gRPC's own look every 5 s.
-    void entryServesSoonAfterItsControlProcessCame()
+    // Guards against a replaced instance that serves only 5 or 10 s after its start: entryd and
+    // lookupd start shortly before controld listens, so their first connection is refused, and the
+    // second is made in time. Between two calls that fail at once, only gRPC's own poll every 5 s
+    // checks the second connection's socket.
+    void entryServesSoonAfterItsControlProcessStarts()
     {
         Site site({});
         site.start();
@@ -78,10 +76,9 @@
         CPPUNIT_ASSERT(site.waitUntilServing(instance, Milliseconds(4000)));
     }
 
-    // Symptom: a target that is going away still gets new work and has to refuse it.
-    // Sequence: a target begins to drain; the platform's list lags; the target itself says so only
-    //   when asked; nobody may have sent it anything for a while.
-    // Cause: knowing a leaving target by the list alone.
+    // Guards against a draining target that still gets new requests and has to refuse them, because
+    // the platform's list lags and instances rely on it alone. The target reports the drain only in
+    // answers, and may have received no request for a while.
     void leavingTargetGetsNoNewWork()
     {
         Site site({});
--- a/Tests/Integration/TestTruthUnderFaults.cpp
+++ b/Tests/Integration/TestTruthUnderFaults.cpp
@@ -16,10 +16,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a caller gets another's answer, or half of its own.
-    // Sequence: some targets swap the ids of their answers, some cut answers short, some are late,
-    //   all while requests run.
-    // Cause: trusting the order of answers on a connection.
+    // Guards against a caller that gets another caller's answer or a truncated one: under load,
+    // some targets swap the ids of their answers, some truncate answers and some answer late, and
+    // the entry trusts the order of answers on a connection.
     void badAnswersNeverReachACaller()
     {
         Site site({});
@@ -46,11 +45,10 @@
         CPPUNIT_ASSERT_MESSAGE(result.log_, Harness::countTold(gets, "run") > gets.size() * 0.9);
     }
 
-    // Symptom: a release order runs twice, or a caller is told "not run" of one that ran.
-    // Sequence: callers repeat unknown outcomes with the same key through other entries while
-    //   entries are killed, targets are killed, confirmations of claims are lost and the store goes
-    //   down for a while.
-    // Cause: any path that runs a request without holding its claim.
+    // Guards against any path that runs a request without holding its idempotency claim, so that it
+    // runs twice or is reported as "not run" although it ran: callers repeat unknown outcomes with
+    // the same key through other entries while entries are killed or paused, targets fail,
+    // confirmations of claims are lost and the store goes down.
     void keyedRequestsRunAtMostOnceUnderMixedFaults()
     {
         Harness::SiteOptions options;
@@ -93,14 +91,14 @@
         CPPUNIT_ASSERT_MESSAGE(std::to_string(result.samples_.size()),
                                result.samples_.size() >= 10000);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(result.log_, 0.0, result.judged("answered_but_not_run"));
-        // The promises must not be kept by doing nothing.
+        // Refusing everything must not satisfy the test.
         const double answered = double(Harness::countTold(result.samples_, "run"));
         CPPUNIT_ASSERT_MESSAGE(result.log_, answered > 0.5 * double(result.samples_.size()));
     }
 
-    // Symptom: requests time out one after the other though the targets are well.
-    // Sequence: something on the way forgets the open connections; new ones work.
-    // Cause: pools that go on trusting connections of the same age as the one that failed.
+    // Guards against requests that time out one after another although the targets are healthy: a
+    // device on the path drops the state of open connections while new ones work, and a pool keeps
+    // using connections as old as the one that failed.
     void silentConnectionsCostOneRetry()
     {
         Harness::SiteOptions options;
@@ -118,9 +116,9 @@
         CPPUNIT_ASSERT_MESSAGE(result.log_, answered > 0.98 * double(result.samples_.size()));
     }
 
-    // Symptom: an entry that wakes up sends requests that others have run meanwhile.
-    // Sequence: entries are frozen in the middle of work, callers repeat elsewhere, entries wake.
-    // Cause: a lease that lapsed while its holder was paused and unaware.
+    // Guards against a resumed entry that sends requests which others ran during its pause: entries
+    // are paused with requests in progress, callers repeat them through other entries, and the
+    // paused holder does not notice that its lease expired.
     void pausedEntryKeepsThePromises()
     {
         Site site({});
--- a/Tests/Integration/TestWholePath.cpp
+++ b/Tests/Integration/TestWholePath.cpp
@@ -61,7 +61,7 @@
         CPPUNIT_ASSERT_EQUAL(200u, answer.result_int());
         CPPUNIT_ASSERT_EQUAL(std::string("run"), std::string(answer["Cassiacrank-Outcome"]));
         CPPUNIT_ASSERT(answer.body().find("abc") != std::string::npos);
-        // A caller cannot choose where it goes by a header of ours.
+        // A caller cannot choose the target by sending an internal header.
         CPPUNIT_ASSERT(std::string(answer["Cassiacrank-Target"]).starts_with("gauging-"));
         CPPUNIT_ASSERT(!answer.count("Cassiacrank-Load"));
 
@@ -78,10 +78,10 @@
         CPPUNIT_ASSERT(metrics.body().find("cassiacrank_entry_requests_total")
                        != std::string::npos);
 
-        // The same key again gets the kept answer; with another request it is refused.
-        const auto paid
+        // A repeated key gets the stored answer; with a different request it is refused.
+        const auto original
             = send(entry, http::verb::post, "/transfers/pay?t=k1", {{"Idempotency-Key", "k1"}});
-        CPPUNIT_ASSERT_EQUAL(std::string("run"), std::string(paid["Cassiacrank-Outcome"]));
+        CPPUNIT_ASSERT_EQUAL(std::string("run"), std::string(original["Cassiacrank-Outcome"]));
         const auto other = site.instance("osrednja-a-1").row_.addresses_.entry_;
         Http::Response again;
         const bool isReplayed = Harness::waitUntil(Milliseconds(3000), [&] {
@@ -90,7 +90,7 @@
             return again["Cassiacrank-Outcome"] == "run";
         });
         CPPUNIT_ASSERT_MESSAGE(again.body(), isReplayed);
-        CPPUNIT_ASSERT_EQUAL(paid.body(), again.body());
+        CPPUNIT_ASSERT_EQUAL(original.body(), again.body());
         const auto reused
             = send(other, http::verb::post, "/transfers/pay?t=k2", {{"Idempotency-Key", "k1"}});
         CPPUNIT_ASSERT_EQUAL(std::string("109"), std::string(reused["Cassiacrank-Code"]));
