--- a/Tests/Platform/StandIns.cpp
+++ b/Tests/Platform/StandIns.cpp
@@ -267,10 +267,10 @@
     changed_.notify_all();
 }
 
-void Target::setBack(std::function<void(const std::string &)> back)
+void Target::setBack(std::function<void(const std::string &)> onRestart)
 {
     const std::lock_guard lock(mutex_);
-    back_ = std::move(back);
+    onRestart_ = std::move(onRestart);
 }
 
 std::vector<TargetEnd> Target::ends()
@@ -301,19 +301,19 @@
         ended.reset();
         lock.lock();
         if (!isKilled)
-            ends_.push_back({std::chrono::steady_clock::now(), endsUnder_});
+            ends_.push_back({std::chrono::steady_clock::now(), crashPath_});
         waitUntil(std::chrono::steady_clock::now() + faults_.backAfter_);
         if (isStopping_)
             return;
         const std::string earlier = std::exchange(id_, id_ + "." + std::to_string(++run_));
         endAt_.reset();
-        const auto back = back_;
+        const auto onRestart = onRestart_;
         lock.unlock();
         auto fresh
             = std::make_unique<ServerThread>(address_, [this](Http::IncomingRequest request) {
                   return answer(std::move(request));
               });
-        back(earlier);
+        onRestart(earlier);
         lock.lock();
         served_ = std::move(fresh);
     }
@@ -395,8 +395,8 @@
         arrivals_.push_back({incoming.arrivedAt_, id_, id, std::string(request[throughHeader])});
         isEnding = !faults.endsUnder_.empty() && request.target().starts_with(faults.endsUnder_);
         if (isEnding && !endAt_) {
-            endAt_ = std::chrono::steady_clock::now() + faults.endsAfter_;
-            endsUnder_ = std::string(request.target());
+            endAt_ = std::chrono::steady_clock::now() + faults.crashDelay_;
+            crashPath_ = std::string(request.target());
             changed_.notify_all();
         }
     }
--- a/Tests/Platform/StandIns.h
+++ b/Tests/Platform/StandIns.h
@@ -112,7 +112,7 @@
     Model::Milliseconds work_{5};
     /// Crashes after it begins to run a request whose path has this prefix. Empty: never crashes.
     std::string endsUnder_;
-    Model::Milliseconds endsAfter_{20};
+    Model::Milliseconds crashDelay_{20};
     /// Time until a new incarnation starts at the same address.
     Model::Milliseconds backAfter_{1500};
 };
@@ -157,7 +157,7 @@
     void kill();
     /// Sets the callback for restarts. It runs on the target's own thread when a new incarnation
     /// serves, with the id of the previous incarnation.
-    void setBack(std::function<void(const std::string &earlier)> back);
+    void setBack(std::function<void(const std::string &earlier)> onRestart);
     /// Returns the crashes of its incarnations, without those by kill().
     std::vector<TargetEnd> ends();
     /// Returns the target's registration as stored.
@@ -185,9 +185,10 @@
     std::map<std::string, int> runs_;
     std::vector<Http::Request> requests_;
     std::vector<Arrival> arrivals_;
-    std::function<void(const std::string &)> back_ = [](const std::string &) {};
+    std::function<void(const std::string &)> onRestart_ = [](const std::string &) {};
     std::vector<TargetEnd> ends_;
-    std::string endsUnder_;
+    /// The path of the request under which the present incarnation ends.
+    std::string crashPath_;
     /// When the present incarnation ends.
     std::optional<Model::SteadyTime> endAt_;
     bool isStopping_ = false;
