--- a/Services/Controld/ControlState.cpp
+++ b/Services/Controld/ControlState.cpp
@@ -202,13 +202,13 @@
 std::vector<PeerCandidate> ControlState::peerCandidates() const
 {
     const std::lock_guard lock(mutex_);
-    std::vector<PeerCandidate> targets;
+    std::vector<PeerCandidate> candidates;
     std::set<Model::Address> seen = {settings_.addresses_.control_};
-    const auto add
-        = [&](const Model::InstanceId &id, const Model::Address &address, bool isSameRegion) {
-              if (seen.insert(address).second)
-                  targets.push_back({id, Observe::dialAddress(settings_, address), isSameRegion});
-          };
+    const auto add = [&](const Model::InstanceId &id, const Model::Address &address,
+                         bool isSameRegion) {
+        if (seen.insert(address).second)
+            candidates.push_back({id, Observe::dialAddress(settings_, address), isSameRegion});
+    };
     for (const auto &[id, member] : gossip_.members_.members_) {
         if (Peers::isAlive(member, steadyNow()))
             add(id, member.record_.instance_.addresses_.control_, true);
@@ -222,7 +222,7 @@
     // A seed's region is unknown; a request as for the local region only costs some extra bytes.
     for (const auto &seed : settings_.seeds_)
         add(Model::InstanceId(), seed, true);
-    return targets;
+    return candidates;
 }
 
 bool ControlState::isQuiet() const
--- a/Services/Controld/GossipRounds.cpp
+++ b/Services/Controld/GossipRounds.cpp
@@ -32,12 +32,12 @@
     return random_;
 }
 
-std::vector<PeerCandidate> GossipRounds::selectPeers(std::vector<PeerCandidate> targets)
+std::vector<PeerCandidate> GossipRounds::selectPeers(std::vector<PeerCandidate> candidates)
 {
     std::vector<PeerCandidate> localPeers;
-    for (const auto &target : targets) {
-        if (target.isSameRegion_)
-            localPeers.push_back(target);
+    for (const auto &candidate : candidates) {
+        if (candidate.isSameRegion_)
+            localPeers.push_back(candidate);
     }
     std::vector<PeerCandidate> chosen;
     for (std::size_t position : Policy::choosePeers(localPeers.size(), 1, {nextRandom()}))
@@ -47,8 +47,8 @@
     std::vector<std::uint64_t> draws;
     for (std::size_t i = 0; i < others; ++i)
         draws.push_back(nextRandom());
-    for (std::size_t position : Policy::choosePeers(targets.size(), others, draws))
-        chosen.push_back(targets[position]);
+    for (std::size_t position : Policy::choosePeers(candidates.size(), others, draws))
+        chosen.push_back(candidates[position]);
     return chosen;
 }
 
--- a/Services/Controld/GossipRounds.h
+++ b/Services/Controld/GossipRounds.h
@@ -20,7 +20,7 @@
 private:
     Http::Task<void> run();
     void sendPull(const PeerCandidate &peer);
-    std::vector<PeerCandidate> selectPeers(std::vector<PeerCandidate> targets);
+    std::vector<PeerCandidate> selectPeers(std::vector<PeerCandidate> candidates);
     std::uint64_t nextRandom();
 
     Http::asio::io_context &context_;
