--- a/Libraries/LibConcurrency/LibConcurrency.h
+++ b/Libraries/LibConcurrency/LibConcurrency.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// LibConcurrency: read-copy-update for what every request reads.
+/// LibConcurrency: read-copy-update for data that every request reads.
 /// This is the library's only public header.
 
 #include "RcuCell.h"
--- a/Libraries/LibConcurrency/RcuCell.h
+++ b/Libraries/LibConcurrency/RcuCell.h
@@ -6,9 +6,9 @@
 
 namespace Concurrency {
 
-/// Lets the calling thread read RcuCell objects while it lives.
+/// Registers the calling thread as a reader of RcuCell objects for the lifetime of this object.
 ///
-/// Thread safety: made and destroyed by the thread that reads.
+/// Thread safety: created and destroyed by the reading thread.
 class RcuReader
 {
 public:
@@ -20,8 +20,8 @@
 
 /// Holds one immutable value that many threads read without a lock while one thread replaces it.
 ///
-/// What goes wrong with a lock instead: whoever replaces the value holds up every request that
-/// comes meanwhile, which shows as a peak of the latency at each new snapshot.
+/// With a lock instead, the writer blocks every request that arrives while it replaces the value,
+/// and the latency peaks at each new snapshot.
 template <typename Value>
 class RcuCell
 {
@@ -29,10 +29,10 @@
     RcuCell() = default;
     RcuCell(const RcuCell &) = delete;
     RcuCell &operator=(const RcuCell &) = delete;
-    /// Precondition: no thread reads any more.
+    /// Precondition: no thread is in read() or will call it.
     ~RcuCell() { delete current_.load(); }
 
-    /// Replaces the value and waits until no reader can hold the old one, which is then destroyed.
+    /// Replaces the value, waits until no reader can hold the old one, and destroys that.
     ///
     /// Thread safety: one thread at a time, never from within read().
     void publish(std::unique_ptr<const Value> value)
@@ -43,21 +43,21 @@
     }
 
     /// Calls \a use with a pointer to the value, or with nullptr before the first publish(), and
-    /// returns what it returns. The pointer must not outlive the call, and \a use must not wait.
+    /// returns what it returns. The pointer must not outlive the call, and \a use must not block.
     ///
     /// Precondition: the calling thread has an RcuReader. Thread safety: any such thread.
     template <typename Use>
     auto read(Use use) const
     {
-        const Section section;
+        const ReadSection section;
         return use(current_.load(std::memory_order_acquire));
     }
 
 private:
-    struct Section
+    struct ReadSection
     {
-        Section() { urcu_memb_read_lock(); }
-        ~Section() { urcu_memb_read_unlock(); }
+        ReadSection() { urcu_memb_read_lock(); }
+        ~ReadSection() { urcu_memb_read_unlock(); }
     };
 
     std::atomic<const Value *> current_{nullptr};
--- a/Libraries/LibHttp/AdminServer.cpp
+++ b/Libraries/LibHttp/AdminServer.cpp
@@ -46,8 +46,8 @@
     }
     if (path == "/status")
         co_return textAnswer(http::status::ok, "application/json", pages_.status_(), version);
-    if (pages_.other_) {
-        if (auto body = pages_.other_(path))
+    if (pages_.fallback_) {
+        if (auto body = pages_.fallback_(path))
             co_return textAnswer(http::status::ok, "application/json", std::move(*body), version);
     }
     co_return textAnswer(http::status::not_found, "text/plain", "known here: /metrics /status\n",
--- a/Libraries/LibHttp/AdminServer.h
+++ b/Libraries/LibHttp/AdminServer.h
@@ -7,21 +7,20 @@
 
 namespace Http {
 
-/// What a daemon shows on its admin address.
+/// The pages that a daemon serves on its admin address.
 struct AdminPages
 {
-    /// Returns the Prometheus text. Called on the admin thread.
+    /// Returns the metrics in Prometheus text format. Called on the admin thread.
     std::function<std::string()> metrics_;
     /// Returns the JSON of /status. Called on the admin thread.
     std::function<std::string()> status_;
-    /// Answers any other path, if set; the argument is the path with its query.
-    std::function<std::optional<std::string>(const std::string &)> other_;
-    /// Removes what DELETE of a path names, if set; returns false, with the last reason set, if it
-    /// cannot.
+    /// Returns the JSON of any other path, if set; the argument is the path with its query.
+    std::function<std::optional<std::string>(const std::string &)> fallback_;
+    /// Handles DELETE of a path, if set; returns false, with the last reason set, on failure.
     std::function<bool(const std::string &)> remove_;
 };
 
-/// Serves a daemon's readouts on a thread of its own, so that they never hold up a request.
+/// Serves a daemon's admin pages on a separate thread, so that they never delay a request.
 ///
 /// Thread safety: start() and the destructor belong to one thread.
 class AdminServer
@@ -32,7 +31,7 @@
     AdminServer(const AdminServer &) = delete;
     AdminServer &operator=(const AdminServer &) = delete;
 
-    /// Begins to listen. Returns false if it cannot, with the last reason set.
+    /// Starts listening. Returns false, with the last reason set, on failure.
     bool start(const Model::Address &address);
 
 private:
--- a/Libraries/LibHttp/BlockingClient.h
+++ b/Libraries/LibHttp/BlockingClient.h
@@ -7,22 +7,22 @@
 
 namespace Http {
 
-/// One request of a tool that has nothing else to do meanwhile.
+/// A request for sendAndWait().
 struct SimpleRequest
 {
     Model::Address address_;
     http::verb method_ = http::verb::get;
     std::string target_ = "/";
     std::string body_;
-    /// Further fields of the head; a Host among them replaces the address.
+    /// Additional header fields; a Host among them replaces the address.
     std::vector<std::pair<std::string, std::string>> fields_;
     Model::Milliseconds timeout_{2000};
 };
 
-/// Sends \a request on a new connection and waits for the answer.
+/// Sends \a request on a new connection and blocks until the answer has arrived.
 ///
-/// Returns nothing if no answer came in time; the last reason is PlatformUnreachable if no byte can
-/// have left, else CommitOutcomeUnknown. Thread safety: any thread; blocks it.
+/// Returns std::nullopt if no answer arrives in time; the last reason is PlatformUnreachable if no
+/// byte can have been sent, else CommitOutcomeUnknown. Thread safety: any thread; blocks it.
 std::optional<Response> sendAndWait(const SimpleRequest &request);
 
 } // namespace Http
--- a/Libraries/LibHttp/ConnectionPool.cpp
+++ b/Libraries/LibHttp/ConnectionPool.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/// A connection on which nothing is awaited must have nothing to read: data would be a late answer
-/// to an earlier request, and an end means that the peer has closed.
+/// An idle connection must have nothing to read: data is a late answer to an earlier request, and
+/// end of file means that the peer has closed.
 bool looksAlive(Connection &connection)
 {
     if (connection.buffer_.size() != 0)
@@ -21,24 +21,25 @@
     return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-/// Part of the other end's idle timeout after which a connection is not used again: what is sent
-/// must arrive before the other end closes.
-constexpr double restPart = 0.7;
+/// Fraction of the peer's idle timeout after which a connection is not reused: a request must
+/// arrive before the peer closes.
+constexpr double idleTimeoutFraction = 0.7;
 
 } // namespace
 
-void Connection::noteKeepAlive(const Response &answer)
+void Connection::recordKeepAliveTimeout(const Response &answer)
 {
     const std::string text(answer[http::field::keep_alive]);
     const auto start = text.find("timeout=");
     if (start == std::string::npos)
         return;
     const double seconds = std::strtod(text.c_str() + start + std::strlen("timeout="), nullptr);
-    longestRest_ = Model::Milliseconds(static_cast<long long>(seconds * 1000 * restPart));
+    idleTimeout_
+        = Model::Milliseconds(static_cast<long long>(seconds * 1000 * idleTimeoutFraction));
 }
 
 std::unique_ptr<Connection> ConnectionPool::takeIdle(const Model::Address &address,
-                                                     Model::Milliseconds longestIdle)
+                                                     Model::Milliseconds maxIdle)
 {
     const auto found = peers_.find(address);
     if (found == peers_.end())
@@ -46,11 +47,11 @@
     Peer &peer = found->second;
     const auto now = std::chrono::steady_clock::now();
     while (!peer.idle_.empty()) {
-        // The most recently used one is the likeliest to be alive.
+        // The most recently used connection is the most likely to be alive.
         std::unique_ptr<Connection> connection = std::move(peer.idle_.back());
         peer.idle_.pop_back();
-        const auto longest = std::min(longestIdle, connection->longestRest_);
-        if (now - connection->usedAt_ <= longest && looksAlive(*connection))
+        const auto allowedIdle = std::min(maxIdle, connection->idleTimeout_);
+        if (now - connection->usedAt_ <= allowedIdle && looksAlive(*connection))
             return connection;
         --peer.open_;
     }
@@ -89,7 +90,7 @@
     found->second.idle_.clear();
 }
 
-bool ConnectionPool::keepFresh(const Model::Address &address, Model::Milliseconds longestIdle,
+bool ConnectionPool::keepFresh(const Model::Address &address, Model::Milliseconds maxIdle,
                                Model::Milliseconds fresh)
 {
     const auto found = peers_.find(address);
@@ -98,7 +99,7 @@
     Peer &peer = found->second;
     const auto now = std::chrono::steady_clock::now();
     peer.open_ -= std::erase_if(peer.idle_, [&](const auto &connection) {
-        return now - connection->usedAt_ > longestIdle;
+        return now - connection->usedAt_ > maxIdle;
     });
     return std::any_of(peer.idle_.begin(), peer.idle_.end(), [&](const auto &connection) {
         return now - connection->usedAt_ <= fresh;
--- a/Libraries/LibHttp/ConnectionPool.h
+++ b/Libraries/LibHttp/ConnectionPool.h
@@ -8,7 +8,7 @@
 
 namespace Http {
 
-/// One TCP connection to a target, another entry or the platform.
+/// A TCP connection to a target, another entry or the platform.
 struct Connection
 {
     explicit Connection(asio::io_context &context)
@@ -16,22 +16,22 @@
     {
     }
 
-    /// Takes in how long the other end says that it keeps the connection open while it rests.
+    /// Records the idle timeout that the peer announces in its Keep-Alive field.
     ///
-    /// What goes wrong without it: a request is sent on a connection that the other end is closing,
-    /// and nobody knows whether it ran.
-    void noteKeepAlive(const Response &answer);
+    /// Without it, a request is sent on a connection that the peer is closing, and its outcome is
+    /// unknown.
+    void recordKeepAliveTimeout(const Response &answer);
 
     beast::tcp_stream stream_;
     beast::flat_buffer buffer_;
     Model::SteadyTime usedAt_;
-    /// How long it may rest before it is not used again.
-    Model::Milliseconds longestRest_ = Model::Milliseconds::max();
+    /// The connection is not reused after it has been idle for longer than this.
+    Model::Milliseconds idleTimeout_ = Model::Milliseconds::max();
 };
 
-/// Keeps open connections for reuse.
+/// Keeps idle connections open for reuse.
 ///
-/// Thread safety: none; each thread has its own pool on its own io_context.
+/// Thread safety: none; each thread has a separate pool on its own io_context.
 class ConnectionPool
 {
 public:
@@ -42,33 +42,34 @@
 
     asio::io_context &context() { return context_; }
 
-    /// Returns an idle connection to \a address that was used at most \a longestIdle ago and looks
-    /// alive, or nullptr. Connections that do not are closed on the way.
+    /// Returns an idle connection to \a address that was last used at most \a maxIdle ago and
+    /// appears alive, or nullptr. Closes the connections that fail these checks.
     std::unique_ptr<Connection> takeIdle(const Model::Address &address,
-                                         Model::Milliseconds longestIdle);
+                                         Model::Milliseconds maxIdle);
 
-    /// Counts a new connection to \a address, unless \a limit are open already.
+    /// Returns an unconnected connection that counts as open to \a address, or nullptr if \a limit
+    /// are open already.
     std::unique_ptr<Connection> openNew(const Model::Address &address, std::size_t limit);
 
-    /// Keeps \a connection for reuse.
+    /// Returns \a connection to the pool for reuse.
     void giveBack(const Model::Address &address, std::unique_ptr<Connection> connection);
 
-    /// Closes \a connection.
+    /// Closes \a connection and stops counting it as open.
     void discard(const Model::Address &address, std::unique_ptr<Connection> connection);
 
     /// Closes every idle connection to \a address.
     ///
-    /// What goes wrong without it: something between the two ends forgets connections, each of them
-    /// stays silent for good, and request after request waits out its deadline on the next one.
-    /// When one has failed, the others of its age are not trusted either.
+    /// Without it, when a middlebox between the two ends drops its connection state, every idle
+    /// connection stays silent, and one request after another waits out its deadline on the next.
+    /// One failure therefore condemns all idle connections to the address.
     void dropIdle(const Model::Address &address);
 
-    /// Closes idle connections to \a address that were used more than \a longestIdle ago, and tells
-    /// whether any is left that was used at most \a fresh ago.
-    bool keepFresh(const Model::Address &address, Model::Milliseconds longestIdle,
+    /// Closes idle connections to \a address that were last used more than \a maxIdle ago.
+    /// Returns whether any remains that was last used at most \a fresh ago.
+    bool keepFresh(const Model::Address &address, Model::Milliseconds maxIdle,
                    Model::Milliseconds fresh);
 
-    /// Returns the connections to \a address that are open, idle or in use.
+    /// Returns the number of open connections to \a address, idle or in use.
     std::size_t openCount(const Model::Address &address) const;
 
 private:
--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Bytes that the other end does not acknowledge within this time end the connection.
+/// TCP_USER_TIMEOUT: data that the peer does not acknowledge within this time ends the connection.
 constexpr unsigned int userTimeoutMilliseconds = 5000;
 
 ResultCode codeOf(const ErrorCode &error)
@@ -22,8 +22,8 @@
     return ResultCode::TargetConnectionLost;
 }
 
-/// An answer without a length ends where the connection ends, so one that was cut short looks
-/// whole.
+/// An answer without a length ends where the connection is closed, so a truncated one looks
+/// complete.
 bool hasLength(const http::response_parser<http::string_body> &parser)
 {
     const auto status = parser.get().result();
@@ -32,12 +32,12 @@
     return isBodyless || parser.chunked() || parser.content_length().has_value();
 }
 
-/// How a connection was come by.
+/// The result of connect().
 struct Connected
 {
     std::unique_ptr<Connection> connection_;
     bool isNew_ = false;
-    /// The other end's system refused it.
+    /// The remote system refused the connection.
     bool isRefused_ = false;
 };
 
@@ -87,7 +87,7 @@
     return result;
 }
 
-/// Reads one whole answer, to whatever request it belongs.
+/// Reads one complete answer without checking to which request it belongs.
 Task<ExchangeResult> readAnswer(Connection &connection, const ExchangeOptions &options)
 {
     http::response_parser<http::string_body> parser;
@@ -111,10 +111,10 @@
     co_return result;
 }
 
-/// A body of at most so many bytes goes to the system at once on a connection at rest.
-constexpr std::size_t unwatchedBytes = 16 * 1024;
+/// An idle connection's send buffer takes a body of at most this size at once.
+constexpr std::size_t maxUnwatchedBodyBytes = 16 * 1024;
 
-/// Ends the sending of a long body to somebody who may not get it any more.
+/// Stops sending a long body once maySend_ has returned false for sendPatience_.
 class SendWatch
 {
 public:
@@ -136,11 +136,11 @@
         timer_.expires_after(options_.watchPeriod_);
         timer_.async_wait([this, alive = std::weak_ptr(alive_)](const ErrorCode &error) {
             if (!error && !alive.expired())
-                look();
+                recheck();
         });
     }
 
-    void look()
+    void recheck()
     {
         refusedFor_
             = options_.maySend_() ? Model::Milliseconds(0) : refusedFor_ + options_.watchPeriod_;
@@ -160,12 +160,12 @@
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// Sends \a request; nothing if it was sent whole.
+/// Sends \a request. Returns std::nullopt if it was sent completely, else the failed result.
 Task<std::optional<ExchangeResult>>
 sendRequest(Connection &connection, const ExchangeOptions &options, const Request &request)
 {
     std::optional<SendWatch> watch;
-    if (options.maySend_ && request.body().size() > unwatchedBytes)
+    if (options.maySend_ && request.body().size() > maxUnwatchedBodyBytes)
         watch.emplace(connection, options);
     ErrorCode error;
     co_await http::async_write(connection.stream_, request,
@@ -177,7 +177,7 @@
     co_return result;
 }
 
-/// Sends and reads on \a connection; the caller decides what becomes of the connection.
+/// Sends the request and reads the answer on \a connection, which the caller then keeps or closes.
 Task<ExchangeResult> exchangeOn(Connection &connection, const ExchangeOptions &options,
                                 const Request &request, const AnswerCheck &isOwnAnswer)
 {
@@ -206,7 +206,7 @@
 
 } // namespace
 
-/// Shows the control which stream is in use while the exchange lasts.
+/// Gives the control access to the stream for the duration of the exchange.
 class ControlGuard
 {
 public:
@@ -266,13 +266,13 @@
     }
     if (!result.answer_) {
         pool.discard(options.address_, std::move(connection));
-        // A cancelled exchange says nothing of the other connections.
+        // Cancellation is no evidence against the other connections.
         if (!options.control_ || !options.control_->isCancelled())
             pool.dropIdle(options.address_);
         co_return result;
     }
     if (result.answer_->keep_alive()) {
-        connection->noteKeepAlive(*result.answer_);
+        connection->recordKeepAliveTimeout(*result.answer_);
         pool.giveBack(options.address_, std::move(connection));
     } else {
         pool.discard(options.address_, std::move(connection));
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -7,21 +7,21 @@
 
 namespace Http {
 
-/// How far an exchange came before it ended.
+/// The stage that an exchange reached before it ended.
 enum class ExchangeStage {
-    /// No connection: no byte of the request can have left.
+    /// There was no connection, so no byte of the request can have been sent.
     NotConnected,
-    /// A byte of the request may have left, and no complete answer came back.
+    /// Part of the request may have been sent, and no complete answer was received.
     Sent,
-    /// A complete answer came back.
+    /// A complete answer was received.
     Answered,
 };
 
-/// Lets someone else end an exchange that is in progress. Belongs to the exchange's thread.
+/// Cancels an exchange that is in progress. Thread safety: the exchange's thread.
 class ExchangeControl
 {
 public:
-    /// Ends the exchange; its connection is closed, which cancels the work of most targets.
+    /// Ends the exchange and closes its connection, which makes most targets cancel the request.
     void cancel();
     bool isCancelled() const { return isCancelled_; }
 
@@ -32,86 +32,87 @@
     bool isCancelled_ = false;
 };
 
-/// Where and within which limits to exchange one request for one answer.
+/// The destination and limits of an exchange.
 struct ExchangeOptions
 {
     Model::Address address_;
     Model::SteadyTime deadline_;
     Model::Milliseconds connectTimeout_{500};
-    /// Zero asks for a new connection.
+    /// Idle connections unused for longer are not reused; zero forces a new connection.
     Model::Milliseconds longestIdle_{10000};
     std::size_t connectionLimit_ = 64;
     std::size_t answerLimitBytes_ = 64 * 1024 * 1024;
-    /// The IP number to connect from; empty leaves the choice to the system.
+    /// The local IP address to connect from; empty leaves the choice to the system.
     std::string sourceHost_;
-    /// Takes an answer without a length that ends with its connection. One that is reset is never
-    /// taken.
+    /// Accepts an answer without a length, which ends where its connection is closed. An answer
+    /// whose connection is reset is never accepted.
     bool takesUnframed_ = false;
-    /// How many answers to other requests may be dropped in front of the right one. Zero closes the
-    /// connection at the first.
+    /// The number of answers to other requests that may be dropped before the matching one. With
+    /// zero, the first such answer closes the connection.
     int foreignAnswersSkipped_ = 0;
     /// If set, outlives the exchange.
     ExchangeControl *control_ = nullptr;
-    /// Asked once there is a connection, just before the first byte is sent: if it says no, nothing
-    /// is sent and the connection is kept. While a long body is being sent it is asked again each
-    /// watchPeriod_; once it has said no for sendPatience_, the connection is closed.
+    /// Called on an established connection just before the first byte is sent: if it returns false,
+    /// nothing is sent and the connection stays open. While a long body is being sent, it is called
+    /// every watchPeriod_; once it has returned false for sendPatience_, the connection is closed.
     std::function<bool()> maySend_;
     Model::Milliseconds watchPeriod_{100};
     Model::Milliseconds sendPatience_{200};
-    /// Called when the first byte is about to be sent.
+    /// Called just before the first byte is sent, after maySend_.
     std::function<void()> sends_;
 };
 
 struct ExchangeResult
 {
     ExchangeStage stage_ = ExchangeStage::NotConnected;
-    /// Why there is no answer; Ok if there is one.
+    /// The reason why there is no answer; Ok if there is one.
     Model::ResultCode code_ = Model::ResultCode::Ok;
     std::optional<Response> answer_;
     bool isNewConnection_ = false;
-    /// How long a new connection took to be made; zero for a kept one.
+    /// The time to establish a new connection; zero for a reused one.
     Model::Microseconds connectTook_{0};
-    /// Answers to other requests that were dropped on the way.
+    /// The number of answers to other requests that were dropped.
     int foreignAnswers_ = 0;
-    /// No connection could be made since nothing listens at the address.
+    /// The connection was refused because nothing listens at the address.
     bool isRefused_ = false;
-    /// ExchangeOptions::maySend_ said no, before the first byte or before the last.
+    /// ExchangeOptions::maySend_ returned false before the request was sent completely.
     bool isWithdrawn_ = false;
 };
 
-/// Tells whether an answer belongs to a request.
+/// Returns whether an answer belongs to a request.
 using AnswerCheck = std::function<bool(const Request &, const Response &)>;
 
 /// Sends \a request and reads the answer, with one request in progress on a connection at a time.
 ///
-/// A connection that failed in any way is closed, so that a late answer on it can never be taken
-/// for the answer to a later request. \a isOwnAnswer is asked about a complete answer; if it says
-/// no, the answer is dropped; without another one the code is ForeignAnswer. Thread safety: the
-/// pool belongs to the calling thread.
+/// A connection that failed in any way is closed, so that a late answer on it can never be
+/// considered the answer to a later request. A complete answer for which \a isOwnAnswer returns
+/// false is dropped; if no other one follows, the code is ForeignAnswer. Thread safety: the pool
+/// belongs to the calling thread.
 Task<ExchangeResult> exchange(ConnectionPool &pool, const ExchangeOptions &options,
                               const Request &request, const AnswerCheck &isOwnAnswer);
 
 /// Opens a connection to options.address_ and keeps it idle in \a pool, so that a later request
-/// need not wait for it. Returns whether it did. Thread safety: as exchange().
+/// need not wait for it. Returns whether it succeeded. Thread safety: as exchange().
 Task<bool> prepareConnection(ConnectionPool &pool, const ExchangeOptions &options);
 
-/// Whether something listens at an address.
+/// Whether a process listens at an address.
 enum class Listening {
     Yes,
-    /// The other end's system says that nothing does.
+    /// The remote system refused the connection.
     No,
-    /// Nobody answered, or no connection was free to ask with.
+    /// There was no reply, or the connection limit was reached.
     Unknown,
 };
 
-/// Asks whether something listens at options.address_, with a new connection; one that is made is
-/// kept idle in \a pool. Thread safety: as exchange().
+/// Probes with a new connection whether a process listens at options.address_. A connection that
+/// succeeds is kept idle in \a pool. Thread safety: as exchange().
 Task<Listening> knock(ConnectionPool &pool, const ExchangeOptions &options);
 
-/// For peers whose answers carry no request id. Thread safety: any thread.
+/// Accepts every answer, for peers whose answers carry no request id. Thread safety: any thread.
 bool anyAnswer(const Request &request, const Response &answer);
 
-/// Sets what every connection of ours needs: no delay, and an end to unanswered sending.
+/// Disables Nagle's algorithm and sets TCP_USER_TIMEOUT, which ends a connection whose data is not
+/// acknowledged.
 void tuneSocket(tcp::socket &socket);
 
 } // namespace Http
--- a/Libraries/LibHttp/LibHttp.h
+++ b/Libraries/LibHttp/LibHttp.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// LibHttp: the HTTP plumbing that the daemons share: server, pooled client, admin readouts.
+/// LibHttp: the HTTP code that the daemons share: server, pooled client, admin pages.
 /// This is the library's only public header.
 
 #include "AdminServer.h"
--- a/Libraries/LibHttp/Precompiled.h
+++ b/Libraries/LibHttp/Precompiled.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Heavy headers that nearly every file here needs; parsed once.
+// Expensive headers that nearly every file includes; parsed once.
 #include <utility>
 
 #include <boost/asio.hpp>
--- a/Libraries/LibHttp/Refusal.h
+++ b/Libraries/LibHttp/Refusal.h
@@ -6,15 +6,15 @@
 
 namespace Http {
 
-/// Returns an answer with a JSON body that gives \a reason; the status follows from the code.
+/// Returns an error answer whose JSON body states \a reason; the status is statusOf() its code.
 ///
 /// Thread safety: any thread.
 Response refusal(const Model::Reason &reason, unsigned httpVersion);
 
-/// Returns a plain answer. Thread safety: any thread.
+/// Returns an answer with \a body of content type \a type. Thread safety: any thread.
 Response textAnswer(http::status status, std::string type, std::string body, unsigned httpVersion);
 
-/// Returns the HTTP status under which \a code is shown. Thread safety: any thread.
+/// Returns the HTTP status that represents \a code. Thread safety: any thread.
 http::status statusOf(Model::ResultCode code);
 
 } // namespace Http
--- a/Libraries/LibHttp/Server.cpp
+++ b/Libraries/LibHttp/Server.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 constexpr Milliseconds writeTimeout{30000};
-constexpr Milliseconds lingerTime{500};
-constexpr std::size_t lingerBytes = 256 * 1024;
+constexpr Milliseconds lingerTimeout{500};
+constexpr std::size_t maxLingerBytes = 256 * 1024;
 constexpr std::size_t sessionsBeforeSweep = 64;
 
 } // namespace
@@ -60,7 +60,7 @@
             startSession(std::move(socket));
             continue;
         }
-        // Out of descriptors and the like: accepting again at once would only spin.
+        // Without a delay, an error such as running out of descriptors makes this loop spin.
         if (acceptor->is_open()) {
             co_await sleepFor(Milliseconds(10));
         }
@@ -88,19 +88,19 @@
 
 Task<void> Server::serve(std::shared_ptr<Session> session)
 {
-    bool goesOn = true;
-    while (goesOn && !session->isClosing_) {
+    bool shouldContinue = true;
+    while (shouldContinue && !session->isClosing_) {
         if (session->pending_.size() >= limits_.pipelineDepth_) {
             co_await waitForChange(*session);
             continue;
         }
-        goesOn = co_await readOne(session);
+        shouldContinue = co_await readOne(session);
     }
     while (!session->pending_.empty() && !session->isBroken_) {
         co_await waitForChange(*session);
     }
     if (session->isClosing_ && !session->isBroken_ && !session->hasEnded_) {
-        co_await closeGently(*session);
+        co_await lingeringClose(*session);
     }
     dropPending(*session);
     ErrorCode ignored;
@@ -121,16 +121,16 @@
     co_await deliver(session);
 }
 
-Task<void> Server::deliver(std::shared_ptr<Session> kept)
+Task<void> Server::deliver(std::shared_ptr<Session> sharedSession)
 {
-    Session &session = *kept;
+    Session &session = *sharedSession;
     if (session.isWriting_)
         co_return;
     session.isWriting_ = true;
     while (!session.isBroken_ && !session.pending_.empty()
            && session.pending_.front()->answer_.has_value()) {
         const std::shared_ptr<Pending> front = session.pending_.front();
-        const bool isLast = session.isClosing_ || isLeaving_ || !front->wantsMore_
+        const bool isLast = session.isClosing_ || isLeaving_ || !front->wantsKeepAlive_
                             || !front->answer_->keep_alive();
         front->answer_->keep_alive(!isLast);
         const bool isWritten = co_await write(session, *front);
@@ -140,7 +140,7 @@
             --inProgress_;
         }
         if (isLast) {
-            // Whoever sent more behind this answer is told by the closing that it was not read.
+            // The close tells a caller that pipelined more requests that they were not processed.
             session.isClosing_ = true;
             dropPending(session);
         }
@@ -150,7 +150,7 @@
         ErrorCode ignored;
         session.stream_.socket().cancel(ignored);
     }
-    limitIdle(kept);
+    limitIdle(sharedSession);
     session.notify();
 }
 
@@ -165,7 +165,7 @@
     session.stream_.expires_after(writeTimeout);
     ErrorCode error;
     http::response_serializer<http::string_body> serializer(*pending.answer_);
-    // The answer to HEAD names the length of a body that is not sent.
+    // The answer to HEAD states the length of a body that is not sent.
     if (pending.isHead_) {
         co_await http::async_write_header(session.stream_, serializer,
                                           asio::redirect_error(asio::use_awaitable, error));
@@ -176,17 +176,17 @@
     co_return !error;
 }
 
-Task<void> Server::closeGently(Session &session)
+Task<void> Server::lingeringClose(Session &session)
 {
-    // Closing while the other end still sends makes the kernel reset the connection, and the reset
-    // can overtake the answer. Reading on for a moment lets the answer arrive.
+    // Closing while the peer still sends makes the kernel reset the connection, and the reset can
+    // overtake the answer. Reading for a short time first lets the answer arrive.
     ErrorCode error;
     session.stream_.socket().shutdown(tcp::socket::shutdown_send, error);
-    std::size_t taken = 0;
-    session.stream_.expires_after(lingerTime);
+    std::size_t discardedBytes = 0;
+    session.stream_.expires_after(lingerTimeout);
     std::vector<char> scratch(4096);
-    while (!error && taken < lingerBytes) {
-        taken += co_await session.stream_.async_read_some(
+    while (!error && discardedBytes < maxLingerBytes) {
+        discardedBytes += co_await session.stream_.async_read_some(
             asio::buffer(scratch), asio::redirect_error(asio::use_awaitable, error));
     }
 }
@@ -194,7 +194,7 @@
 void Server::stopAccepting()
 {
     for (const auto &acceptor : acceptors_) {
-        // Closing a listening socket resets the connections that wait in it, so take them first.
+        // Closing a listening socket resets the connections in its queue, so accept them first.
         acceptor->non_blocking(true);
         ErrorCode error;
         while (!error) {
--- a/Libraries/LibHttp/Server.h
+++ b/Libraries/LibHttp/Server.h
@@ -7,39 +7,39 @@
 
 namespace Http {
 
-/// What a server takes from one connection.
+/// The limits that a server applies to each connection.
 struct ServerLimits
 {
     std::size_t headBytes_ = 16 * 1024;
     std::size_t bodyBytes_ = 1024 * 1024;
-    /// Longest rest between two requests.
+    /// Maximum idle time between two requests.
     Model::Milliseconds idle_{60000};
-    /// Longest time from the first byte of a request to its last.
+    /// Maximum time from the first byte of a request to its last.
     Model::Milliseconds request_{10000};
-    /// Requests of one connection that are worked on at the same time; their answers go out in the
-    /// order in which the requests came.
+    /// Maximum number of requests of one connection that are processed concurrently; their answers
+    /// are sent in the order of the requests.
     std::size_t pipelineDepth_ = 1;
 };
 
-/// A whole request as it came from a connection.
+/// A complete request with its connection's data.
 struct IncomingRequest
 {
     Request message_;
-    /// The IP number of the other end.
+    /// The IP address of the peer.
     std::string remoteHost_;
     Model::SteadyTime arrivedAt_;
-    /// Tells whether the other end has closed its sending side, which cancels the request for peers
+    /// Returns whether the peer has closed its sending side, which cancels the request for peers
     /// that never half-close. Valid until the answer is returned.
     std::function<bool()> isGone_;
 };
 
-/// Answers one request. It must not throw. An answer that says so ends its connection.
+/// Answers one request. Must not throw. An answer without keep-alive ends its connection.
 using Handler = std::function<Task<Response>(IncomingRequest)>;
 
-/// Takes HTTP/1.1 requests on one thread's io_context.
+/// Serves HTTP/1.1 requests on one thread's io_context.
 ///
-/// Every method runs on that thread. Several servers may listen on one address, one on each thread;
-/// the kernel spreads connections over them.
+/// Thread safety: every method runs on that thread. Several servers may listen on one address, one
+/// per thread; the kernel distributes connections among them.
 class Server
 {
 public:
@@ -47,20 +47,20 @@
     Server(const Server &) = delete;
     Server &operator=(const Server &) = delete;
 
-    /// Begins to take connections. Returns false if the address cannot be listened on, with
-    /// BadValue as the last reason.
+    /// Starts accepting connections. Returns false, with BadValue as the last reason, if the server
+    /// cannot listen on the address.
     bool listen(const Model::Address &address);
 
-    /// Sets the limits for what is read from now on. Buffers of open connections keep their size.
+    /// Sets the limits for all further reads. Buffers of open connections keep their size.
     void setLimits(const ServerLimits &limits) { limits_ = limits; }
 
-    /// From now on each answer tells the other end to use another connection next time.
+    /// Closes each connection with its next answer, which announces this to the peer.
     void beginLeaving() { isLeaving_ = true; }
 
-    /// Takes the connections that wait already, and none after that.
+    /// Accepts the connections that are already queued, then stops listening.
     void stopAccepting();
 
-    /// Ends the connections that are between two requests.
+    /// Closes the connections that are between two requests.
     void closeIdle();
 
     std::size_t openSessions() const { return openSessions_; }
@@ -74,16 +74,16 @@
     Task<void> acceptLoop(std::shared_ptr<tcp::acceptor> acceptor);
     Task<void> serve(std::shared_ptr<Session> session);
     Task<void> waitForChange(Session &session);
-    Task<bool> awaitFirstByte(std::shared_ptr<Session> kept);
+    Task<bool> awaitFirstByte(std::shared_ptr<Session> sharedSession);
     void limitIdle(const std::shared_ptr<Session> &session);
-    Task<bool> readOne(std::shared_ptr<Session> kept);
+    Task<bool> readOne(std::shared_ptr<Session> sharedSession);
     Task<Model::ResultCode> readRequest(Session &session, Request &request);
     Task<void> answerOne(std::shared_ptr<Session> session, std::shared_ptr<Pending> pending,
                          IncomingRequest incoming);
-    Task<void> deliver(std::shared_ptr<Session> kept);
+    Task<void> deliver(std::shared_ptr<Session> sharedSession);
     Task<bool> write(Session &session, Pending &pending);
     void dropPending(Session &session);
-    Task<void> closeGently(Session &session);
+    Task<void> lingeringClose(Session &session);
     void startSession(tcp::socket socket);
 
     asio::io_context &context_;
--- a/Libraries/LibHttp/ServerReading.cpp
+++ b/Libraries/LibHttp/ServerReading.cpp
@@ -17,8 +17,8 @@
         return ResultCode::HeadTooLarge;
     if (error == http::error::body_limit)
         return ResultCode::BodyTooLarge;
-    // Two lengths, or a length beside chunks: what one reader takes for the end of the body another
-    // takes for its middle, so a second request could be smuggled inside the first.
+    // With two lengths, or a length beside chunked encoding, parsers disagree on where the body
+    // ends, so a second request could be smuggled inside the first.
     if (error == http::error::bad_content_length || error == http::error::bad_transfer_encoding)
         return ResultCode::AmbiguousLength;
     return ResultCode::MalformedRequest;
@@ -31,7 +31,7 @@
     return received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-/// Checks what the parser lets pass but two readers could understand in two ways.
+/// Rejects ambiguous heads that the parser accepts but that other parsers could read differently.
 ResultCode checkHead(const Parser &parser)
 {
     const auto &head = parser.get();
@@ -53,11 +53,11 @@
 
 } // namespace
 
-Task<bool> Server::awaitFirstByte(std::shared_ptr<Session> kept)
+Task<bool> Server::awaitFirstByte(std::shared_ptr<Session> sharedSession)
 {
-    Session &session = *kept;
+    Session &session = *sharedSession;
     session.isBetweenRequests_ = true;
-    limitIdle(kept);
+    limitIdle(sharedSession);
     session.stream_.expires_never();
     ErrorCode error;
     const auto space = session.buffer_.prepare(1024);
@@ -87,23 +87,23 @@
     });
 }
 
-Task<bool> Server::readOne(std::shared_ptr<Session> kept)
+Task<bool> Server::readOne(std::shared_ptr<Session> sharedSession)
 {
-    Session &session = *kept;
+    Session &session = *sharedSession;
     if (session.buffer_.size() == 0) {
-        const bool hasByte = co_await awaitFirstByte(kept);
+        const bool hasByte = co_await awaitFirstByte(sharedSession);
         if (!hasByte)
             co_return false;
     }
     IncomingRequest incoming;
     ResultCode code = ResultCode::Ok;
     {
-        const ReadLimit limit(kept, limits_.request_);
+        const ReadLimit limit(sharedSession, limits_.request_);
         code = co_await readRequest(session, incoming.message_);
     }
     if (code != ResultCode::Ok && session.isTooSlow_)
         code = ResultCode::RequestTooSlow;
-    // An answer that closes the connection went out meanwhile; what was half read is not answered.
+    // An answer that closes the connection was sent meanwhile, so this request gets none.
     if (session.isClosing_ || session.isBroken_)
         co_return false;
 
@@ -112,24 +112,24 @@
     ++inProgress_;
     if (code != ResultCode::Ok) {
         pending->answer_ = refusal(Model::Reason{code, ""}, 11);
-        pending->wantsMore_ = false;
-        co_await deliver(kept);
+        pending->wantsKeepAlive_ = false;
+        co_await deliver(sharedSession);
         co_return false;
     }
     incoming.remoteHost_ = session.remoteHost_;
     incoming.arrivedAt_ = std::chrono::steady_clock::now();
-    incoming.isGone_ = [weak = std::weak_ptr(kept)] {
+    incoming.isGone_ = [weak = std::weak_ptr(sharedSession)] {
         const auto session = weak.lock();
         return !session || session->hasEnded_ || session->isBroken_
                || (!session->isBetweenRequests_ && !session->isReading_
                    && hasEnded(session->stream_.socket()));
     };
-    pending->wantsMore_ = incoming.message_.keep_alive();
+    pending->wantsKeepAlive_ = incoming.message_.keep_alive();
     pending->isHead_ = incoming.message_.method() == http::verb::head;
-    const bool goesOn = pending->wantsMore_;
-    asio::co_spawn(context_, answerOne(kept, std::move(pending), std::move(incoming)),
+    const bool shouldContinue = pending->wantsKeepAlive_;
+    asio::co_spawn(context_, answerOne(sharedSession, std::move(pending), std::move(incoming)),
                    asio::detached);
-    co_return goesOn;
+    co_return shouldContinue;
 }
 
 Task<ResultCode> Server::readRequest(Session &session, Request &request)
@@ -147,8 +147,8 @@
         co_return headCode;
 
     if (parser.get().count(http::field::expect) > 0 && !parser.is_done()) {
-        http::response<http::empty_body> goAhead(http::status::continue_, 11);
-        co_await http::async_write(session.stream_, goAhead,
+        http::response<http::empty_body> continueResponse(http::status::continue_, 11);
+        co_await http::async_write(session.stream_, continueResponse,
                                    asio::redirect_error(asio::use_awaitable, error));
         if (error)
             co_return codeOf(error);
--- a/Libraries/LibHttp/ServerSession.h
+++ b/Libraries/LibHttp/ServerSession.h
@@ -7,15 +7,15 @@
 
 namespace Http {
 
-/// A request that was read, and its answer once there is one.
+/// A request that was read, and its answer when available.
 struct Server::Pending
 {
     std::optional<Response> answer_;
-    bool wantsMore_ = true;
+    bool wantsKeepAlive_ = true;
     bool isHead_ = false;
 };
 
-/// One connection of a caller.
+/// A connection of a caller.
 struct Server::Session
 {
     Session(tcp::socket socket, std::size_t bufferBytes)
@@ -27,7 +27,7 @@
         changed_.expires_at(Model::SteadyTime::max());
     }
 
-    /// Wakes whoever waits for pending_ to change.
+    /// Wakes the coroutines that wait for a change of pending_.
     void notify() { changed_.cancel(); }
 
     beast::tcp_stream stream_;
@@ -35,24 +35,24 @@
     std::string remoteHost_;
     asio::steady_timer readTimer_;
     asio::steady_timer changed_;
-    /// Requests that were read and not answered yet, in the order in which they came.
+    /// Requests that were read and not answered yet, in order of arrival.
     std::deque<std::shared_ptr<Pending>> pending_;
-    /// Waits for the first byte of a request.
+    /// The session waits for the first byte of a request.
     bool isBetweenRequests_ = true;
     bool isReading_ = false;
     bool isTooSlow_ = false;
     bool isWriting_ = false;
-    /// The other end has closed or reset the connection.
+    /// The peer has closed or reset the connection.
     bool hasEnded_ = false;
-    /// Nothing more is read; the answers that are due are still written.
+    /// Nothing more is read; pending answers are still written.
     bool isClosing_ = false;
-    /// Nothing can be written any more.
+    /// A write has failed, so nothing more can be written.
     bool isBroken_ = false;
 };
 
-/// Ends the reads of a request after a while, and leaves the connection open for the refusal.
+/// Cancels the reads of a request after a timeout, and leaves the connection open for the refusal.
 ///
-/// The stream's own timeout closes the socket, so that a slow caller would never learn why.
+/// The timeout of the stream itself closes the socket, and a slow caller then gets no reason.
 class Server::ReadLimit
 {
 public:
@@ -65,7 +65,7 @@
         session_->readTimer_.expires_after(limit);
         session_->readTimer_.async_wait([weak = std::weak_ptr(session_)](const ErrorCode &error) {
             const auto session = weak.lock();
-            // The timer may have run out in the moment in which the request became whole.
+            // The timer may have expired just as the request was completed.
             if (error || !session || !session->isReading_)
                 return;
             session->isTooSlow_ = true;
--- a/Tests/LibConcurrency/TestRcuCell.cpp
+++ b/Tests/LibConcurrency/TestRcuCell.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Two numbers that always agree; a reader that sees them differ saw a value that was torn or
-/// freed.
+/// Two numbers that are always equal; a reader that sees them differ has read a torn or freed
+/// value.
 struct Pair
 {
     long first_ = 0;
@@ -23,16 +23,15 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    // Symptom: a request reads half of an old and half of a new snapshot, or freed memory.
-    // Sequence: several threads read while one publishes again and again.
-    // Cause: a publisher that frees the old value before every reader has left it.
+    // Guards against reads of torn snapshots or freed memory: several threads read while one
+    // publishes repeatedly and frees the old value before every reader has left it.
     //
-    // The publisher begins once every reader has read, and goes on until each of them has read a
-    // hundred times more, so that reads and publications overlap however the threads are scheduled.
+    // The publisher starts once every reader has read, and continues until each has read a hundred
+    // times more, so that reads and publications overlap however the threads are scheduled.
     void readersSeeWholeValuesWhileOneThreadPublishes()
     {
-        constexpr long leastPublications = 300;
-        constexpr long leastReads = 100;
+        constexpr long minPublications = 300;
+        constexpr long minReads = 100;
         Concurrency::RcuCell<Pair> cell;
         cell.publish(std::make_unique<Pair>());
         std::atomic<bool> isOver{false};
@@ -59,10 +58,10 @@
         }
         started.wait();
         const auto hasReadEnough = [](const std::atomic<long> &own) {
-            return own >= leastReads;
+            return own >= minReads;
         };
         long published = 0;
-        while (published < leastPublications || !std::ranges::all_of(reads, hasReadEnough)) {
+        while (published < minPublications || !std::ranges::all_of(reads, hasReadEnough)) {
             auto next = std::make_unique<Pair>();
             next->first_ = ++published;
             next->second_ = published;
@@ -72,8 +71,8 @@
         for (auto &reader : readers)
             reader.join();
         for (const auto &own : reads)
-            CPPUNIT_ASSERT(own >= leastReads);
-        CPPUNIT_ASSERT(published >= leastPublications);
+            CPPUNIT_ASSERT(own >= minReads);
+        CPPUNIT_ASSERT(published >= minPublications);
         CPPUNIT_ASSERT_EQUAL(0L, broken.load());
     }
 };
--- a/Tests/LibHttp/TestExchange.cpp
+++ b/Tests/LibHttp/TestExchange.cpp
@@ -8,7 +8,7 @@
 using Model::Milliseconds;
 using Model::ResultCode;
 
-/// A peer that accepts one connection after another and plays a fixed text on each.
+/// A peer that accepts one connection after another and sends a fixed text on each.
 class ScriptedPeer
 {
 public:
@@ -35,7 +35,7 @@
             Http::ErrorCode error;
             socket.read_some(Http::asio::buffer(buffer), error);
             if (answer.empty()) {
-                // Silence until the other end gives up.
+                // Stays silent until the other end closes the connection.
                 socket.read_some(Http::asio::buffer(buffer), error);
                 continue;
             }
@@ -78,21 +78,21 @@
 class TestExchange : public CppUnit::TestFixture
 {
     CPPUNIT_TEST_SUITE(TestExchange);
-    CPPUNIT_TEST(ownAnswerComesThrough);
+    CPPUNIT_TEST(ownAnswerIsReturned);
     CPPUNIT_TEST(foreignAnswerIsDropped);
     CPPUNIT_TEST(truncatedAnswerIsAnError);
-    CPPUNIT_TEST(ownAnswerBehindALateOneComesThrough);
-    CPPUNIT_TEST(unframedAnswerCountsOnlyWhereItIsAsked);
+    CPPUNIT_TEST(ownAnswerAfterALateForeignOneIsReturned);
+    CPPUNIT_TEST(unframedAnswerIsAcceptedOnlyIfEnabled);
     CPPUNIT_TEST(cancelledExchangeEndsAtOnce);
-    CPPUNIT_TEST(longBodyIsNotSentOnToSomebodyWhoMayNotGetIt);
-    CPPUNIT_TEST(nothingIsSentToSomebodyWhoMayNotGetIt);
-    CPPUNIT_TEST(silenceEndsAtTheDeadline);
+    CPPUNIT_TEST(longBodyStopsWhenSendingIsWithdrawn);
+    CPPUNIT_TEST(nothingIsSentWhenSendingIsWithdrawn);
+    CPPUNIT_TEST(silentPeerTimesOutAtTheDeadline);
     CPPUNIT_TEST(refusedConnectionMeansNothingWasSent);
-    CPPUNIT_TEST(strayBytesKeepAConnectionFromReuse);
+    CPPUNIT_TEST(connectionWithUnreadBytesIsNotReused);
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    void ownAnswerComesThrough()
+    void ownAnswerIsReturned()
     {
         const ScriptedPeer peer({answerWith("mine", "Content-Length: 2\r\n", "ok")});
         const auto result = exchangeWith(peer.address());
@@ -100,9 +100,8 @@
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), result.answer_->body());
     }
 
-    // Symptom: a pilot gets a customs officer's figure.
-    // Sequence: an answer to an earlier request arrives late, on a connection that was reused.
-    // Cause: taking whatever answer comes next.
+    // Guards against giving a caller the answer to another caller's request: an answer to an
+    // earlier request arrives late on a reused connection and is accepted unchecked.
     void foreignAnswerIsDropped()
     {
         const ScriptedPeer peer({answerWith("another's", "Content-Length: 2\r\n", "no")});
@@ -112,9 +111,8 @@
         CPPUNIT_ASSERT(result.stage_ == Http::ExchangeStage::Sent);
     }
 
-    // Symptom: half an answer is shown as a whole one.
-    // Sequence: the connection ends inside the body, or the answer has no length.
-    // Cause: taking the end of the connection for the end of the answer.
+    // Guards against returning a truncated answer as complete: the connection ends inside the body,
+    // or the answer has no length, and its end is considered the end of the answer.
     void truncatedAnswerIsAnError()
     {
         const ScriptedPeer peer({answerWith("mine", "Content-Length: 9\r\n", "half"),
@@ -126,11 +124,10 @@
         }
     }
 
-    // Symptom: a request that ran well is told as lost.
-    // Sequence: a target's second answer to an earlier request arrives on a kept connection after
-    // the next request was sent; the right answer stands behind it.
-    // Cause: giving up at the first answer whose id does not match.
-    void ownAnswerBehindALateOneComesThrough()
+    // Guards against reporting a successful request as lost: a target's second answer to an earlier
+    // request arrives on a reused connection after the next request was sent, and the exchange
+    // fails at that answer although the matching one follows it.
+    void ownAnswerAfterALateForeignOneIsReturned()
     {
         const std::string late = answerWith("another's", "Content-Length: 2\r\n", "no");
         const ScriptedPeer peer({late + answerWith("mine", "Content-Length: 2\r\n", "ok"),
@@ -144,7 +141,7 @@
         CPPUNIT_ASSERT(exchangeWith(peer.address(), options).code_ == ResultCode::ForeignAnswer);
     }
 
-    void unframedAnswerCountsOnlyWhereItIsAsked()
+    void unframedAnswerIsAcceptedOnlyIfEnabled()
     {
         const ScriptedPeer peer({answerWith("mine", "", "whole"), answerWith("mine", "", "whole")});
         CPPUNIT_ASSERT(!exchangeWith(peer.address()).answer_);
@@ -155,7 +152,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("whole"), result.answer_->body());
     }
 
-    /// An exchange with a peer that takes connections and reads nothing.
+    /// An exchange with a peer that accepts connections and reads nothing.
     struct SilentExchange
     {
         SilentExchange()
@@ -194,12 +191,12 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), exchange.pool_.openCount(exchange.options_.address_));
     }
 
-    // Guards against a body that goes on to a target long after its leave became known.
-    void longBodyIsNotSentOnToSomebodyWhoMayNotGetIt()
+    // Guards against sending the rest of a body long after the target is known to be leaving.
+    void longBodyStopsWhenSendingIsWithdrawn()
     {
-        constexpr std::size_t moreThanSystemsHold = 64 * 1024 * 1024;
+        constexpr std::size_t moreThanSocketBuffersHold = 64 * 1024 * 1024;
         SilentExchange exchange;
-        exchange.request_.body() = std::string(moreThanSystemsHold, 'x');
+        exchange.request_.body() = std::string(moreThanSocketBuffersHold, 'x');
         exchange.request_.prepare_payload();
         bool isAllowed = true;
         exchange.options_.maySend_ = [&] {
@@ -212,12 +209,12 @@
         exchange.context_.run_for(std::chrono::seconds(5));
         CPPUNIT_ASSERT(exchange.result_);
         CPPUNIT_ASSERT(exchange.result_->isWithdrawn_);
-        // Part of it was sent, so nobody can say that it has not run.
+        // Part of the request was sent, so whether it ran is unknown.
         CPPUNIT_ASSERT(exchange.result_->stage_ == Http::ExchangeStage::Sent);
     }
 
-    // Guards against a first byte to a target whose leave became known meanwhile.
-    void nothingIsSentToSomebodyWhoMayNotGetIt()
+    // Guards against sending the first byte to a target that began leaving during the connect.
+    void nothingIsSentWhenSendingIsWithdrawn()
     {
         SilentExchange exchange;
         exchange.options_.maySend_ = [] {
@@ -231,7 +228,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), exchange.pool_.openCount(exchange.options_.address_));
     }
 
-    void silenceEndsAtTheDeadline()
+    void silentPeerTimesOutAtTheDeadline()
     {
         const ScriptedPeer peer({""});
         const auto result = exchangeWith(peer.address());
@@ -252,7 +249,7 @@
         CPPUNIT_ASSERT(result.code_ == ResultCode::TargetUnreachable);
     }
 
-    void strayBytesKeepAConnectionFromReuse()
+    void connectionWithUnreadBytesIsNotReused()
     {
         Http::asio::io_context context;
         tcp::acceptor acceptor(context, {Http::asio::ip::make_address("127.0.0.1"), 0});
--- a/Tests/LibHttp/TestServer.cpp
+++ b/Tests/LibHttp/TestServer.cpp
@@ -7,7 +7,7 @@
 using Http::tcp;
 using Model::Milliseconds;
 
-/// A server on a thread of its own that answers with the method, the path and the body's length.
+/// A server on a separate thread that answers with the method, the path and the body's length.
 class EchoServer
 {
 public:
@@ -66,7 +66,7 @@
     std::thread thread_;
 };
 
-/// Sends \a text, ends the sending side if asked, and returns everything that comes back.
+/// Sends \a text, shuts down the sending side if \a halfCloses, and returns all that is received.
 std::string talk(const EchoServer &server, const std::string &text, bool halfCloses)
 {
     Http::asio::io_context context;
@@ -97,11 +97,11 @@
 {
     CPPUNIT_TEST_SUITE(TestServer);
     CPPUNIT_TEST(pipelinedRequestsAreAnsweredInOrder);
-    CPPUNIT_TEST(pipelinedRequestsAreWorkedOnTogether);
-    CPPUNIT_TEST(nothingIsAnsweredBehindAClosingAnswer);
+    CPPUNIT_TEST(pipelinedRequestsAreProcessedConcurrently);
+    CPPUNIT_TEST(requestsAfterAClosingAnswerAreDropped);
     CPPUNIT_TEST(halfClosedCallerGetsItsAnswer);
     CPPUNIT_TEST(chunkedBodyIsRead);
-    CPPUNIT_TEST(expectationIsMet);
+    CPPUNIT_TEST(expect100ContinueIsAnswered);
     CPPUNIT_TEST(ambiguousRequestsAreRefusedAndTheConnectionCloses);
     CPPUNIT_TEST(slowBodyIsRefused);
     CPPUNIT_TEST(headGetsNoBody);
@@ -122,10 +122,9 @@
         CPPUNIT_ASSERT(answer.find("/2") < answer.find("/3"));
     }
 
-    // Symptom: the fourth of four requests sent together takes four times as long.
-    // Sequence: a caller sends them on one connection without waiting.
-    // Cause: beginning each only when the one before it was answered.
-    void pipelinedRequestsAreWorkedOnTogether()
+    // Guards against serial processing of pipelined requests: if each starts only after the one
+    // before it was answered, the fourth of four requests takes four times as long.
+    void pipelinedRequestsAreProcessedConcurrently()
     {
         auto limits = EchoServer::limits();
         limits.pipelineDepth_ = 8;
@@ -143,7 +142,7 @@
         CPPUNIT_ASSERT(answer.find("/slow3") < answer.find("/4"));
     }
 
-    void nothingIsAnsweredBehindAClosingAnswer()
+    void requestsAfterAClosingAnswerAreDropped()
     {
         auto limits = EchoServer::limits();
         limits.pipelineDepth_ = 8;
@@ -175,7 +174,7 @@
         CPPUNIT_ASSERT_MESSAGE(answer, answer.find("POST /x 8") != std::string::npos);
     }
 
-    void expectationIsMet()
+    void expect100ContinueIsAnswered()
     {
         const EchoServer server;
         const std::string answer = talk(server,
@@ -186,9 +185,8 @@
         CPPUNIT_ASSERT(answer.find("POST /x 3") != std::string::npos);
     }
 
-    // Symptom: a second request is smuggled inside the body of the first.
-    // Sequence: a caller gives the body's length in two ways, or in a way two readers read apart.
-    // Cause: a reader that picks one of the lengths.
+    // Guards against request smuggling: a caller states the body's length in two ways, or in a way
+    // that parsers interpret differently, and the server picks one of them.
     void ambiguousRequestsAreRefusedAndTheConnectionCloses()
     {
         const EchoServer server;
@@ -245,7 +243,7 @@
     void randomBytesNeverBreakTheServer()
     {
         const EchoServer server;
-        Support::assertProperty("after any bytes the server still serves", [&] {
+        Support::assertProperty("the server still answers after arbitrary bytes", [&] {
             const auto bytes = *rc::gen::container<std::string>(
                 rc::gen::elementOf(std::string("GET /POST HTTP/1.1\r\n:Host-Length0123 \x00\xff")));
             talk(server, bytes, true);
