--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -192,8 +192,8 @@
         result.foreignAnswers_ = foreign;
         if (!result.answer_ || isOwnAnswer(request, *result.answer_))
             co_return result;
-        // A late second answer to an earlier request arrives where this one's is due. The id tells
-        // them apart, so the right answer behind it need not be lost.
+        // A late second answer to an earlier request can precede the answer to this one. The
+        // request id distinguishes them, so the matching answer that follows is not lost.
         ++foreign;
         const bool isEnd = !result.answer_->keep_alive();
         if (isEnd || foreign > options.foreignAnswersSkipped_) {
