--- a/Tests/Harness/Demo.cpp
+++ b/Tests/Harness/Demo.cpp
@@ -1,4 +1,4 @@
-// Runs a whole example site for some seconds: load, an edit, a drain, a planned stop of everything.
+// Runs an example site under load, with an edit, a drain and a planned stop of all instances.
 
 #include <Harness/Site.h>
 
@@ -9,7 +9,7 @@
 #include <regex>
 
 DEFINE_string(site, "koper", "koper or nakhla");
-DEFINE_int32(seconds, 20, "length of the load");
+DEFINE_int32(seconds, 20, "duration of the load");
 
 namespace {
 
@@ -40,7 +40,7 @@
             {"treatment-desk", "app-", 15, true}};
 }
 
-/// A moderate mixed load from every region.
+/// Returns a moderate mixed load from every region.
 std::string profileFor(const Site &site, const std::string &example)
 {
     const auto loads = loadsOf(example);
@@ -76,7 +76,7 @@
     std::cout << text << std::endl;
 }
 
-/// Shows the load tool's lines as they come until it ends, and does what is due on the way.
+/// Prints the load tool's output until it exits; starts the edit and the drain at their times.
 void follow(Site &site, Harness::Process &load, const std::string &drained)
 {
     const auto startedAt = std::chrono::steady_clock::now();
--- a/Tests/Harness/Process.cpp
+++ b/Tests/Harness/Process.cpp
@@ -35,7 +35,7 @@
         pid_ = child;
         return;
     }
-    // In the child only calls that are safe after fork() in a program with threads.
+    // The child makes only async-signal-safe calls: the parent can have several threads.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != parent)
         _exit(1);
@@ -45,7 +45,7 @@
     const int file = open(logPath_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     dup2(file, STDOUT_FILENO);
     dup2(file, STDERR_FILENO);
-    // A stand-in's sockets would stay open in the child after the stand-in has closed them.
+    // Without this, a stand-in's sockets stay open in the child after the stand-in closes them.
     close_range(STDERR_FILENO + 1, ~0U, 0);
     execv(arguments[0], arguments.data());
     _exit(127);
--- a/Tests/Harness/Process.h
+++ b/Tests/Harness/Process.h
@@ -9,7 +9,7 @@
 
 namespace Harness {
 
-/// A child process; it ends with this object at the latest, and with the test if that dies.
+/// A child process. It is killed when this object is destroyed or the test process ends.
 class Process
 {
 public:
@@ -20,15 +20,15 @@
 
     void start();
     void signal(int number);
-    /// Returns the exit code, 128 + the signal's number, or nothing if it runs on after \a
-    /// patience.
+    /// Returns the exit code, 128 + the signal number, or std::nullopt if the process still runs
+    /// after \a patience.
     std::optional<int> wait(Model::Milliseconds patience);
     void kill();
     bool isRunning() const { return pid_ > 0; }
-    /// Tells whether it blocks or handles a signal by now: one that comes while the system still
-    /// loads the program ends it, whatever the program does.
+    /// Returns whether the process blocks or handles the signal. A signal that arrives while the
+    /// kernel still loads the program terminates it, whatever handlers the program installs.
     bool minds(int number) const;
-    /// Returns the processor time used so far, in seconds.
+    /// Returns the consumed processor time in seconds.
     double cpuSeconds() const;
     const std::string &name() const { return name_; }
     std::string log() const;
@@ -40,7 +40,7 @@
     pid_t pid_ = -1;
 };
 
-/// Asks \a isTrue again and again until it says yes. Returns whether it did within \a patience.
+/// Polls \a isTrue until it returns true. Returns whether it did within \a patience.
 template <typename Question>
 bool waitUntil(Model::Milliseconds patience, Question isTrue);
 
--- a/Tests/Harness/Samples.cpp
+++ b/Tests/Harness/Samples.cpp
@@ -11,7 +11,7 @@
 {
     std::ifstream file(path);
     if (!file)
-        throw std::runtime_error("no samples at " + path);
+        throw std::runtime_error("cannot open sample file " + path);
     std::vector<SampleLine> lines;
     std::string line;
     std::getline(file, line);
--- a/Tests/Harness/Samples.h
+++ b/Tests/Harness/Samples.h
@@ -7,7 +7,7 @@
 
 namespace Harness {
 
-/// One line of the load tool's file of samples.
+/// One line of the load tool's sample file.
 struct SampleLine
 {
     std::string stream_;
@@ -19,29 +19,29 @@
     int sends_ = 0;
     std::string target_;
     std::string entry_;
-    /// How much of the latency passed before the load tool itself came to send the request.
+    /// Part of the latency that passed before the load tool sent the request.
     double lateMs_ = 0;
 };
 
-/// Reads a file of samples. Throws if it is not there.
+/// Reads a sample file. Throws if it does not exist.
 std::vector<SampleLine> readSamples(const std::string &path);
 
-/// Returns the lines whose stream's name begins with \a stream.
+/// Returns the lines whose stream name begins with \a stream.
 std::vector<SampleLine> ofStream(const std::vector<SampleLine> &lines, const std::string &stream);
 
-/// Returns one line for each of the first requests that were not run, for a failure's message.
+/// Returns one line for each of the first requests that were not run, for assertion messages.
 std::string refusalsOf(const std::vector<SampleLine> &lines);
 
 std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &told);
 
-/// Returns the latency in milliseconds that a part of the answered requests stayed below.
+/// Returns the latency quantile of the answered requests in milliseconds.
 double latencyMs(const std::vector<SampleLine> &lines, double part);
 
-/// Returns the answered requests between two times that went to each failure domain, as shares.
+/// Returns each failure domain's share of the requests answered between two times.
 std::vector<double> domainShares(const std::vector<SampleLine> &lines, const Model::Table &table,
                                  double fromSeconds, double untilSeconds);
 
-/// Returns a value "name=123.4" of a line that begins with \a start, or 0.
+/// Returns the value of "name=123.4" in the line that begins with \a start, or 0.
 double valueIn(const std::string &text, const std::string &start, const std::string &name);
 
 } // namespace Harness
--- a/Tests/Harness/SingleQueue.h
+++ b/Tests/Harness/SingleQueue.h
@@ -4,12 +4,12 @@
 
 namespace Harness {
 
-/// Returns the waiting times, in the unit of the arguments, that requests arriving at \a arrivals
-/// would have in a single queue before \a slots slots with a fixed \a serviceTime: the best that
-/// any sharing of the slots can reach.
+/// Returns the waiting times, in the unit of the arguments, of requests that arrive at \a arrivals
+/// in a single queue for \a slots slots with a fixed \a serviceTime. This is the lower bound for
+/// any distribution of the requests over the slots.
 std::vector<double> singleQueueWaits(std::vector<double> arrivals, int slots, double serviceTime);
 
-/// Returns the value that a part of \a values stays at or below.
+/// Returns the value that the fraction \a part of \a values does not exceed.
 double quantile(std::vector<double> values, double part);
 
 } // namespace Harness
--- a/Tests/Harness/Site.cpp
+++ b/Tests/Harness/Site.cpp
@@ -35,7 +35,7 @@
     request.body_ = body.dump();
     request.timeout_ = Milliseconds(5000);
     if (!Http::sendAndWait(request))
-        throw std::runtime_error("no answer from " + toText(address) + target);
+        throw std::runtime_error("request failed: no answer from " + toText(address) + target);
 }
 
 } // namespace
@@ -90,7 +90,7 @@
 
 std::string Site::binary(const std::string &name) const
 {
-    // The stand-ins are always this version's; only the product's binaries may be another's.
+    // Test binaries are always of this version; only the product's binaries can be of another one.
     const bool isOwn = std::isupper(static_cast<unsigned char>(name.front())) || name == "loadtool";
     return (isOwn ? ownDirectory() : options_.binaries_) + "/" + name;
 }
@@ -121,7 +121,7 @@
             return "127." + std::to_string(net_) + "." + std::to_string(number) + ".1";
         ++number;
     }
-    throw std::runtime_error("no region " + region);
+    throw std::runtime_error("unknown region " + region);
 }
 
 SiteInstance &Site::instance(const std::string &id)
@@ -130,7 +130,7 @@
         if (instance.row_.id_.value() == id)
             return instance;
     }
-    throw std::runtime_error("no instance " + id);
+    throw std::runtime_error("unknown instance " + id);
 }
 
 SiteTarget &Site::target(const std::string &id)
@@ -139,7 +139,7 @@
         if (target.row_.id_.value() == id)
             return target;
     }
-    throw std::runtime_error("no target " + id);
+    throw std::runtime_error("unknown target " + id);
 }
 
 void Site::start()
@@ -186,7 +186,7 @@
         const std::string service = table_->services().front().id_.value();
         const auto lookup = getJson(instance.row_.addresses_.lookup_,
                                     "/v1/entry?service=" + service, Milliseconds(500));
-        // Until it has heard that an entry of its region serves, a look-up rightly names others.
+        // A look-up returns remote entries until it learns that an entry of its region serves.
         const json entries = lookup ? lookup->value("entries", json::array()) : json::array();
         return !entries.empty() && entries[0].at("region") == instance.row_.region_.value();
     });
--- a/Tests/Harness/Site.h
+++ b/Tests/Harness/Site.h
@@ -13,27 +13,27 @@
 
 namespace Harness {
 
-/// How a site is set up.
+/// Settings of a site.
 struct SiteOptions
 {
     /// "koper" or "nakhla".
     std::string example_ = "koper";
-    /// Mean service time by service; others take 10 ms.
+    /// Mean service time by service; default 10 ms.
     std::map<std::string, double> meanMs_;
     bool hasExponentialTimes_ = true;
     double coldFactor_ = 1;
-    /// Targets end under requests whose path holds this.
+    /// Targets crash while they run a request whose path contains this.
     std::string endUnder_;
-    /// Instances to start, at most 12; the first of each failure domain come first.
+    /// Number of instances to start, at most 12; the first instance of each failure domain first.
     std::size_t instances_ = 12;
     int lookupTimeToLiveMs_ = 1000;
-    /// Runs connections between regions and failure domains through the fault-injecting proxy.
+    /// Routes connections between regions and failure domains through the fault-injecting proxy.
     bool hasProxy_ = false;
     double delayBetweenDomainsMs_ = 0;
     double delayBetweenRegionsMs_ = 0;
-    /// Cells to change in the example: "service gauging" -> "shift_cap" -> "10".
+    /// Cells that override the example: "service gauging" -> "shift_cap" -> "10".
     std::map<std::string, std::map<std::string, std::string>> cells_;
-    /// Where the binaries are; empty for those beside this program.
+    /// Directory of the binaries; if empty, that of this program.
     std::string binaries_;
 };
 
@@ -56,8 +56,8 @@
     std::vector<Process *> processes();
 };
 
-/// A whole small site in real processes on loopback numbers of its own: the platform's stand-in,
-/// all targets of an example, the fault-injecting proxy and the instances.
+/// A small site of real processes on a reserved loopback net: the platform stand-in, all targets of
+/// an example, the fault-injecting proxy and the instances.
 class Site
 {
 public:
@@ -66,21 +66,22 @@
     Site(const Site &) = delete;
     Site &operator=(const Site &) = delete;
 
-    /// Starts everything and waits until all instances serve. Throws if that fails.
+    /// Starts all processes and waits until all instances serve. Throws on failure.
     void start();
     void startInstance(SiteInstance &instance);
-    /// Makes the instance's processes without starting them.
+    /// Creates the instance's processes without starting them.
     void prepareInstance(SiteInstance &instance);
-    /// Waits until the instance's entry uses the table and its look-up answers.
+    /// Waits until the instance's entry is ready and its look-up returns a local entry.
     bool waitUntilServing(SiteInstance &instance, Model::Milliseconds patience);
-    /// Stops the processes of an instance as planned; returns whether each exited with 0.
+    /// Performs a planned stop of an instance; returns whether each process exited with 0.
     bool stopInstance(SiteInstance &instance, Model::Milliseconds patience);
-    /// Stops all instances at the same time as planned.
+    /// Performs a planned stop of all instances at the same time.
     bool stopAllInstances(Model::Milliseconds patience);
-    /// Replaces every instance as planned, in two groups of one instance of each failure domain.
-    /// Returns whether each process exited with 0 and each new instance serves within \a patience.
+    /// Performs a planned restart of all instances, in two groups with one instance of each failure
+    /// domain. Returns whether each process exited with 0 and each new instance serves within \a
+    /// patience.
     bool replaceAllInstances(Model::Milliseconds patience);
-    /// Makes the platform's list say what runs; leaving ones are named by id.
+    /// Publishes the list of instances on the platform; \a leaving holds the ids of leaving ones.
     void writeInstanceList(const std::set<std::string> &leaving = {});
 
     std::vector<SiteInstance> &instances() { return instances_; }
@@ -90,26 +91,26 @@
     Model::Address platform() const;
     const Model::Table &table() const { return *table_; }
 
-    /// Runs tablectl and returns its exit code; the output goes to \a output if given.
+    /// Runs tablectl and returns its exit code; stores its output in \a output if not null.
     int tablectl(std::vector<std::string> arguments, std::string *output = nullptr);
-    /// Sets switches of the platform's stand-in, of a target or of a group of the proxy.
+    /// Sets fault switches of the platform stand-in, of a target or of a proxy group.
     void switchPlatform(const nlohmann::json &wanted);
     void switchTarget(const std::string &id, const nlohmann::json &wanted);
     void switchProxy(const std::string &group, const std::string &mode);
-    /// Returns the counts of a target's stand-in.
+    /// Returns the counters of a target stand-in.
     nlohmann::json targetCounts(const std::string &id);
     nlohmann::json platformCounts();
 
-    /// Writes \a profile to a file and makes a loadtool for it, not started yet.
+    /// Writes \a profile to a file and creates a load tool process for it, without starting it.
     std::unique_ptr<Process> loadtool(const std::string &name, const std::string &profile,
                                       int seconds, int seed = 1,
                                       std::vector<std::string> more = {});
     std::string samplesPath(const std::string &name) const;
-    /// A loopback number from which callers of the region connect.
+    /// Returns the loopback source address of the region's callers.
     std::string callerSource(const std::string &region) const;
     std::string directory() const { return directory_; }
     std::string binary(const std::string &name) const;
-    /// Addresses joined by commas, for the load tool's flags.
+    /// Comma-separated addresses for the load tool's flags.
     std::string lookupList() const;
     std::string targetList() const;
 
@@ -139,12 +140,12 @@
     std::vector<SiteInstance> instances_;
     std::optional<Model::Table> table_;
     std::string ways_;
-    /// By instance, the lines of its [dial] section.
+    /// Lines of the [dial] section by instance.
     std::map<std::string, std::string> dial_;
     int lastWay_ = 0;
 };
 
-/// Returns the body of a GET as JSON, or nothing.
+/// Returns the JSON body of a GET request, or std::nullopt on failure.
 std::optional<nlohmann::json> getJson(const Model::Address &address, const std::string &target,
                                       Model::Milliseconds timeout = Model::Milliseconds(2000));
 
--- a/Tests/Harness/SiteLayout.cpp
+++ b/Tests/Harness/SiteLayout.cpp
@@ -1,4 +1,4 @@
-// How a site is laid out: its loopback net, targets, instances, ways through the proxy, settings.
+// Layout of a site: its loopback net, targets, instances, proxy forwarding rules and settings.
 
 #include "Site.h"
 
@@ -22,7 +22,7 @@
 constexpr int instancesOfDomain = 2;
 constexpr Milliseconds startPatience{30000};
 
-/// Binds a port that marks a net as taken, or returns -1.
+/// Reserves a loopback net by binding a port in it. Returns the socket, or -1 if the net is in use.
 int tryLock(int net)
 {
     const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -182,7 +182,7 @@
             request.body_ = R"({"group":"none","mode":"pass"})";
             return Http::sendAndWait(request).has_value();
         }))
-        throw std::runtime_error("proxy does not start: " + proxy_->log());
+        throw std::runtime_error("proxy did not start: " + proxy_->log());
 }
 
 void Site::startPlatform()
@@ -193,7 +193,7 @@
     if (!waitUntil(startPatience, [&] {
             return getJson(platform(), "/standin/x").has_value();
         }))
-        throw std::runtime_error("platform does not start: " + platform_->log());
+        throw std::runtime_error("platform stand-in did not start: " + platform_->log());
     std::string blocks;
     for (const auto &region : table_->regions()) {
         const std::string source = callerSource(region.id_.value());
@@ -207,7 +207,7 @@
     Http::sendAndWait(request);
     std::string output;
     if (tablectl({"--operator=harness", "apply", write("table", exampleText())}, &output) != 0)
-        throw std::runtime_error("table is not accepted: " + output);
+        throw std::runtime_error("table was rejected: " + output);
 }
 
 std::string Site::settingsText(const SiteInstance &instance) const
--- a/Tests/StandIns/FaultProxy.cpp
+++ b/Tests/StandIns/FaultProxy.cpp
@@ -1,10 +1,12 @@
-// A TCP proxy that brings about the faults of a network: delay, cuts, loss in one direction, and
-// connections that go silent for good while new ones work.
+// A TCP and UDP proxy that injects network faults: delay, resets, loss in one direction, and
+// connections that hang forever while new ones work.
 //
-// Its command file has one line for each way: "LISTEN TARGET DELAY_US GROUP". POST /standin/switch
-// {"group": G, "mode": M} sets the mode of every way of a group: "pass", "cut" (connections end and
-// none can be made), "freeze" (connections that are open now carry nothing any more; new ones do),
-// "black-hole" (everything is swallowed, new connections too), "lose-answers" (one direction only).
+// Its configuration file has one line for each forwarding rule: "LISTEN TARGET DELAY_US GROUP".
+// POST /standin/switch
+// {"group": G, "mode": M} sets the mode of every rule of a group: "pass", "cut" (closes
+// connections, also new ones), "freeze" (drops all data of the connections that are open at this
+// time, not of new ones), "black-hole" (drops all data, also of new connections), "lose-answers"
+// (drops answers only).
 
 #include "StandInMain.h"
 
@@ -14,8 +16,8 @@
 #include <list>
 #include <sstream>
 
-DEFINE_string(address, "127.0.0.1:7900", "where to take switches");
-DEFINE_string(ways, "", "path of the file of ways");
+DEFINE_string(address, "127.0.0.1:7900", "address of the control server");
+DEFINE_string(ways, "", "path of the file of forwarding rules");
 
 namespace {
 
@@ -30,7 +32,7 @@
 struct Group
 {
     std::string mode_ = "pass";
-    /// Connections with a lower number carry nothing any more.
+    /// Drops the data of connections with a lower number.
     std::uint64_t frozenBelow_ = 0;
 };
 
@@ -42,7 +44,7 @@
     std::string group_;
 };
 
-/// Bytes on their way in one direction, each chunk with the time at which it arrives.
+/// Bytes in transit in one direction, each chunk with its arrival time.
 struct Pipe
 {
     explicit Pipe(Http::asio::io_context &context)
@@ -123,7 +125,7 @@
         return {endpoint.address(), endpoint.port()};
     }
 
-    /// Datagrams go one way only; any mode but "pass" loses them.
+    /// Forwards datagrams in one direction; any mode other than "pass" drops them.
     Task<void> datagramLoop(std::shared_ptr<udp::socket> socket, Way way)
     {
         std::string bytes(chunkBytes, '\0');
@@ -215,7 +217,7 @@
             const std::size_t received = co_await from->async_read_some(
                 Http::asio::buffer(chunk),
                 Http::asio::redirect_error(Http::asio::use_awaitable, error));
-            // A silent connection does not even tell that the other end has gone.
+            // A hung connection does not forward the close of the other end either.
             if (swallows(*link, way, isAnswer))
                 continue;
             const auto arrival = std::chrono::steady_clock::now() + way.delay_;
@@ -282,12 +284,12 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("A TCP proxy that brings about faults, for tests.");
+    gflags::SetUsageMessage("A TCP and UDP proxy that injects faults, for tests.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     Http::asio::io_context context(1);
     Proxy proxy(context);
     if (!addWays(proxy)) {
-        std::cerr << "cannot set up the ways\n";
+        std::cerr << "cannot set up the forwarding rules\n";
         return 4;
     }
     return StandIns::serveUntilStopped(
--- a/Tests/StandIns/PlatformStandIn.cpp
+++ b/Tests/StandIns/PlatformStandIn.cpp
@@ -1,12 +1,12 @@
-// A small stand-in for the platform: table service, object store, instance list, and switches that
-// bring about its failures. docs/platform-protocol.md describes the protocol.
+// A minimal fake of the platform: table service, object store, instance list, and switches that
+// inject failures. docs/platform-protocol.md describes the protocol.
 
 #include "StandInMain.h"
 
 #include <deque>
 #include <map>
 
-DEFINE_string(address, "127.0.0.1:9000", "where to listen");
+DEFINE_string(address, "127.0.0.1:9000", "listen address");
 
 namespace {
 
@@ -23,13 +23,13 @@
 struct Switches
 {
     bool isDown_ = false;
-    /// Every answer comes this much later.
+    /// Delay of every answer.
     Milliseconds delay_{0};
-    /// So many commits take effect without an answer.
+    /// Number of further commits that take effect but are never answered.
     int lostConfirmations_ = 0;
-    /// The list answers with what it held this long ago.
+    /// Age of the instance list that is returned.
     Milliseconds listLag_{0};
-    /// Reads answer from the rows as they stood when this was set.
+    /// Reads return the rows of the last "remember" switch.
     bool isStale_ = false;
 };
 
@@ -155,7 +155,7 @@
             = wanted.value("lose_confirmations", switches_.lostConfirmations_);
         switches_.listLag_ = Milliseconds(wanted.value("list_lag_ms", switches_.listLag_.count()));
         switches_.isStale_ = wanted.value("stale", switches_.isStale_);
-        // What a replica that lags will answer with once "stale" is set.
+        // Saves the rows that a lagging replica returns while "stale" is set.
         if (wanted.value("remember", false)) {
             staleRows_ = rows_;
             staleRevision_ = revision_;
--- a/Tests/StandIns/StandInMain.h
+++ b/Tests/StandIns/StandInMain.h
@@ -42,7 +42,7 @@
     return Http::textAnswer(status, "application/json", body.dump(), 11);
 }
 
-/// Returns the value of \a name in the query of \a target, or nothing.
+/// Returns the value of \a name in the query of \a target, or std::nullopt.
 inline std::optional<std::string> queryValue(const std::string &target, const std::string &name)
 {
     const auto question = target.find('?');
--- a/Tests/StandIns/WorkerStandIn.cpp
+++ b/Tests/StandIns/WorkerStandIn.cpp
@@ -1,6 +1,6 @@
-// A small stand-in for a target: slots, load reports, cold start, draining, deadlines,
-// cancellation, and a count of executions for each request, which judges "at most once" and "not
-// run". docs/target-protocol.md describes the protocol.
+// A minimal fake of a target: slots, load reports, cold start, draining, deadlines, cancellation,
+// and an execution count per request, against which tests verify "at most once" and "not run".
+// docs/target-protocol.md describes the protocol.
 
 #include "StandInMain.h"
 
@@ -8,15 +8,17 @@
 #include <random>
 #include <unistd.h>
 
-DEFINE_string(address, "127.0.0.1:8000", "where to listen");
-DEFINE_int32(slots, 4, "requests worked on at the same time");
+DEFINE_string(address, "127.0.0.1:8000", "listen address");
+DEFINE_int32(slots, 4, "concurrent requests");
 DEFINE_double(mean_ms, 10, "mean service time");
-DEFINE_bool(exponential, true, "service times vary exponentially; else all are the mean");
-DEFINE_double(cold_factor, 1, "service times begin this much longer and shrink as work is done");
-DEFINE_int32(cold_requests, 50, "requests until the caches are warm");
+DEFINE_bool(exponential, true,
+            "draw service times from an exponential distribution; else all are the mean");
+DEFINE_double(cold_factor, 1,
+              "initial factor on service times, which decreases to 1 as requests run");
+DEFINE_int32(cold_requests, 50, "number of requests until the caches are warm");
 DEFINE_uint64(seed, 1, "seed of the service times");
-DEFINE_string(end_under, "", "ends when it has begun to run a request whose path holds this");
-DEFINE_int32(end_after_ms, 20, "how long after that");
+DEFINE_string(end_under, "", "crashes while it runs a request whose path contains this");
+DEFINE_int32(end_after_ms, 20, "delay of the crash after the start of the request");
 
 namespace {
 
@@ -94,7 +96,7 @@
         co_return doneAnswer(token, request.message_.body().size());
     }
 
-    // GCC 12 cannot have these lists of initialisers inside a coroutine.
+    // Separate functions, because GCC 12 does not compile these initializer lists in a coroutine.
     static Http::Response deadlineAnswer()
     {
         return StandIns::jsonAnswer({{"error", "deadline"}}, http::status::gateway_timeout);
@@ -149,7 +151,7 @@
     {
         std::string id(request[Http::requestIdHeader.data()]);
         const bool isHealth = request.target().starts_with("/cassiacrank/");
-        // The answer of the request before, whole: with its id and its body.
+        // Sends the whole answer of the previous request: its id and its body.
         if (faults_.isForeign_ && !isHealth) {
             std::swap(id, lastId_);
             std::swap(answer.body(), lastBody_);
--- a/Tests/Support/Property.h
+++ b/Tests/Support/Property.h
@@ -6,7 +6,7 @@
 
 namespace Support {
 
-/// Checks a property and fails the CppUnit test if a case breaks it.
+/// Checks a RapidCheck property and fails the CppUnit test if a case violates it.
 template <typename Property>
 void assertProperty(const std::string &description, Property property)
 {
--- a/Tests/Support/TestMain.cpp
+++ b/Tests/Support/TestMain.cpp
@@ -1,4 +1,5 @@
-// Runs every registered test of one program and ends with "NAME: N passed, N failed".
+// Runs every registered test of one program and prints, as the last line, "NAME: N passed, N
+// failed".
 
 #include <cppunit/Exception.h>
 #include <cppunit/SourceLine.h>
@@ -17,7 +18,7 @@
 #include <sstream>
 
 DEFINE_string(known_red, "", "comma-separated tests that may fail; see KNOWN-RED.txt");
-DEFINE_string(only, "", "run the tests whose names hold this");
+DEFINE_string(only, "", "run only the tests whose names contain this");
 
 namespace {
 
@@ -91,7 +92,7 @@
     FLAGS_minloglevel = google::GLOG_FATAL;
     google::InitGoogleLogging(argv[0]);
     std::signal(SIGPIPE, SIG_IGN);
-    // The properties draw the same cases in every run.
+    // Makes RapidCheck generate the same cases in every run.
     setenv("RC_PARAMS", "seed=20261202", 0);
 
     CppUnit::TestResult result;
--- a/Utilities/Loadtool/Load.cpp
+++ b/Utilities/Loadtool/Load.cpp
@@ -13,7 +13,7 @@
 
 constexpr Milliseconds lookupTimeout{500};
 constexpr Milliseconds repeatPause{50};
-/// The pause between rounds through entries that cannot be reached doubles up to this.
+/// Upper bound of the exponential delay between rounds over unreachable entries.
 constexpr Milliseconds longestPause{800};
 constexpr std::size_t connectionsOfStream = 4096;
 
@@ -42,7 +42,7 @@
 
 } // namespace
 
-/// One caller with its own connections and its own memory of entries.
+/// A caller with its own connection pool and cached entries.
 struct Load::Caller
 {
     explicit Caller(Http::asio::io_context &context)
@@ -139,12 +139,12 @@
         const Model::Address entry = caller.entries_[position % caller.entries_.size()];
         ++position;
         const bool wasSent = co_await sendOnce(stream, caller, sample, entry, deadline);
-        // An entry that cannot be reached costs a try of the next one, and nothing else.
+        // An unreachable entry only leads to an attempt at the next one; it uses up no retry.
         if (!wasSent) {
             if (position % caller.entries_.size() == 0) {
                 caller.entriesUntil_ = steadyNow();
-                // Asking on without a pause, the callers of a dead region use up the load tool's
-                // time, and those of the other regions look slow.
+                // Without this delay, callers of a failed region consume the load tool's processor
+                // time, and the callers of other regions measure too high latencies.
                 co_await Http::sleepFor(unreachablePause);
                 unreachablePause = std::min(2 * unreachablePause, longestPause);
             }
@@ -206,7 +206,7 @@
     request.set(Http::http::field::host, "cassiacrank");
     request.set(Http::callerNameHeader.data(), caller.name_);
     request.set(Http::callerDeadlineHeader.data(), std::to_string(stream.timeout_.count()));
-    // Straight to a target, the request names itself as an entry would name it.
+    // In direct mode, the load tool sets the request id that an entry sets otherwise.
     if (!options_.direct_.empty())
         request.set(Http::requestIdHeader.data(), sample.token_);
     if (stream.hasKey_)
@@ -250,7 +250,7 @@
         co_return true;
     const auto body = nlohmann::json::parse(result.answer_->body(), nullptr, false);
     const bool isOwn = body.is_object() && body.value("token", "") == sample.token_;
-    // A target that gave up at its deadline says so instead; that is its own answer all the same.
+    // A target that stops at the deadline answers without the token; this is still a valid answer.
     const bool isGivenUp = result.answer_->result() == Http::http::status::gateway_timeout;
     sample.isWrong_ = !isOwn && !isGivenUp;
     co_return true;
--- a/Utilities/Loadtool/Load.h
+++ b/Utilities/Loadtool/Load.h
@@ -11,20 +11,20 @@
 
 namespace Loadtool {
 
-/// Where the load goes.
+/// Settings of a load run.
 struct LoadOptions
 {
     std::vector<Stream> streams_;
-    /// Where callers ask for an entry.
+    /// Look-up addresses from which callers request entries.
     std::vector<Model::Address> lookups_;
-    /// If set, requests go straight to these targets, past the system.
+    /// If set, callers send requests directly to these targets, bypassing the system.
     std::vector<Model::Address> direct_;
     Model::Milliseconds duration_{20000};
     std::uint64_t seed_ = 1;
 };
 
-/// Plays callers: each asks for an entry, keeps the answer while it lives, and sends its requests
-/// at planned times whether or not earlier ones have been answered.
+/// Simulates callers: each looks up entries, caches them for their TTL, and sends its requests at
+/// planned times whether or not earlier ones have been answered (open loop).
 ///
 /// Thread safety: none; run() blocks the calling thread.
 class Load
@@ -32,7 +32,7 @@
 public:
     explicit Load(LoadOptions options);
 
-    /// Runs to the end and returns a sample for each request. \a progress is called each second.
+    /// Runs the load and returns a sample for each request. Calls \a progress every second.
     std::vector<Sample> run(const std::function<void(const std::vector<Sample> &)> &progress);
 
 private:
--- a/Utilities/Loadtool/Profile.h
+++ b/Utilities/Loadtool/Profile.h
@@ -8,35 +8,36 @@
 
 namespace Loadtool {
 
-/// Callers that behave alike.
+/// A group of callers with the same behavior.
 struct Stream
 {
     std::string name_;
     Model::ServiceId service_;
-    /// The callers' names are this with a number behind it.
+    /// A caller's name is this prefix followed by a number.
     std::string callerPrefix_;
     int callers_ = 1;
     Model::RequestsPerSecond rate_;
     bool isPost_ = false;
     bool hasKey_ = false;
-    /// Times that an unknown outcome is tried again with the same key.
+    /// Maximum retries, with the same key, after an unknown outcome.
     int repeats_ = 0;
     Model::RegionId origin_;
-    /// The IP number from which the callers connect; empty leaves it open.
+    /// Source IP address of the callers; if empty, the kernel chooses it.
     std::string source_;
     Model::Milliseconds timeout_{2000};
     std::size_t bodyBytes_ = 0;
-    /// When the stream begins and ends, from the start of the run.
+    /// Start and end of the stream, relative to the start of the run.
     Model::Milliseconds from_{0};
     Model::Milliseconds until_{0};
     /// One-way delay between the callers and the entries.
     Model::Milliseconds delay_{0};
 };
 
-/// Reads streams from an INI text, one section "stream NAME" each; docs/loadtool.md lists the keys.
+/// Parses streams from an INI text, one section "stream NAME" each; docs/loadtool.md lists the
+/// keys.
 ///
-/// Returns nothing, with SettingsBadValue, SettingsUnknownKey or SettingsUnreadable as the last
-/// reason, for a text that breaks the form. Thread safety: any thread.
+/// Returns std::nullopt, with SettingsBadValue, SettingsUnknownKey or SettingsUnreadable as the
+/// last reason, for a malformed text. Thread safety: any thread.
 std::optional<std::vector<Stream>> streamsFromText(const std::string &text,
                                                    Model::Milliseconds duration);
 
--- a/Utilities/Loadtool/Report.h
+++ b/Utilities/Loadtool/Report.h
@@ -9,7 +9,7 @@
 
 namespace Loadtool {
 
-/// What a caller was finally told.
+/// The outcome of a request as its caller sees it.
 enum class Told { Run, NotRun, Unknown, Nothing };
 
 /// One request from its planned start to its final answer.
@@ -17,10 +17,10 @@
 {
     std::size_t stream_ = 0;
     std::string token_;
-    /// From the start of the run.
+    /// Relative to the start of the run.
     Model::Microseconds sentAt_{0};
     Model::Microseconds latency_{0};
-    /// How much of the latency passed before the load tool itself came to send the request.
+    /// Part of the latency that passed before the load tool sent the request.
     Model::Microseconds lateBy_{0};
     Told told_ = Told::Nothing;
     int code_ = 0;
@@ -30,7 +30,7 @@
     std::string entry_;
 };
 
-/// Figures of some samples.
+/// Counts and latency percentiles of a set of samples.
 struct Figures
 {
     std::size_t requests_ = 0;
@@ -44,25 +44,27 @@
     Model::Microseconds maximum_{0};
 };
 
-/// Sums up the samples of one stream, or of all for a stream number below zero. Thread safety: any.
+/// Summarizes the samples of one stream, or of all streams if \a stream is negative. Thread safety:
+/// any thread.
 Figures figuresOf(const std::vector<Sample> &samples, int stream);
 
-/// What the targets themselves counted, set against what callers were told.
+/// Contradictions between the targets' execution counts and the outcomes that callers got.
 struct Judgement
 {
-    /// Requests that must run once and ran more often.
+    /// Requests that must run at most once and ran more than once.
     std::size_t duplicated_ = 0;
-    /// Requests whose callers were told "not run" and that ran.
+    /// Requests with the outcome "not run" that ran.
     std::size_t notRunButRun_ = 0;
-    /// Requests whose callers got an answer and that no target ran.
+    /// Requests that were answered although no target ran them.
     std::size_t answeredButNotRun_ = 0;
 };
 
-/// Compares \a samples with the targets' \a executions by token. Thread safety: any thread.
+/// Compares \a samples with the targets' \a executions, matched by token. Thread safety: any
+/// thread.
 Judgement judge(const std::vector<Sample> &samples, const std::vector<Stream> &streams,
                 const std::map<std::string, int> &executions);
 
-/// Returns the samples as comma-separated lines with a head line. Thread safety: any thread.
+/// Returns the samples as comma-separated values with a header line. Thread safety: any thread.
 std::string samplesText(const std::vector<Sample> &samples, const std::vector<Stream> &streams);
 
 } // namespace Loadtool
--- a/Utilities/Loadtool/main.cpp
+++ b/Utilities/Loadtool/main.cpp
@@ -9,13 +9,14 @@
 #include <sstream>
 
 DEFINE_string(profile, "", "path of the INI file of streams; see docs/loadtool.md");
-DEFINE_string(lookups, "", "IP:port, ... of look-ups to ask for entries");
-DEFINE_string(direct, "", "IP:port, ... of targets to send to straight, past the system");
-DEFINE_string(targets, "", "IP:port, ... of targets whose own counts judge the outcomes");
-DEFINE_string(samples, "", "path to write a line for each request to");
-DEFINE_int32(seconds, 20, "length of the run");
-DEFINE_uint64(seed, 1, "seed of arrivals and choices");
-DEFINE_bool(progress, false, "print a line each second");
+DEFINE_string(lookups, "", "IP:port, ... of look-ups from which to request entries");
+DEFINE_string(direct, "", "IP:port, ... of targets to send to directly, bypassing the system");
+DEFINE_string(targets, "",
+              "IP:port, ... of targets whose execution counts are compared with the outcomes");
+DEFINE_string(samples, "", "output path for a line per request");
+DEFINE_int32(seconds, 20, "duration of the run");
+DEFINE_uint64(seed, 1, "seed of arrival times and random choices");
+DEFINE_bool(progress, false, "print a progress line every second");
 
 namespace {
 
@@ -45,7 +46,7 @@
         request.target_ = "/standin/executions";
         const auto answer = Http::sendAndWait(request);
         if (!answer) {
-            std::cerr << "target " << toText(target) << " does not tell its counts\n";
+            std::cerr << "target " << toText(target) << " does not return its execution counts\n";
             continue;
         }
         const auto counts = nlohmann::json::parse(answer->body(), nullptr, false);
@@ -89,7 +90,7 @@
         return std::nullopt;
     if (streams->empty() || (lookups->empty() && direct->empty())) {
         return Model::fail(Model::ResultCode::SettingsMissing,
-                           "a profile with streams and --lookups or --direct are needed");
+                           "a profile with streams and --lookups or --direct are required");
     }
     options.streams_ = *streams;
     options.lookups_ = *lookups;
@@ -101,8 +102,9 @@
 
 int main(int argc, char **argv)
 {
-    const std::string help = "loadtool: plays callers, prints what they were told and how long it "
-                             "took, and compares with the targets' own counts.";
+    const std::string help
+        = "loadtool: simulates callers, prints their outcomes and latencies, and "
+          "compares the outcomes with the targets' execution counts.";
     if (Observe::showHelpIfAsked(argc, argv, help, "Loadtool/main"))
         return 0;
     gflags::ParseCommandLineFlags(&argc, &argv, true);
--- a/Utilities/Tablectl/Commands.cpp
+++ b/Utilities/Tablectl/Commands.cpp
@@ -47,7 +47,7 @@
     return Model::rowsFromText(text.str());
 }
 
-/// Prints every wrong cell, not only the first. Returns whether there is none.
+/// Prints every invalid cell, not only the first. Returns whether all cells are valid.
 bool printMistakes(const std::vector<Model::Row> &rows)
 {
     const auto errors = Model::Table::check(rows);
@@ -56,7 +56,7 @@
     return errors.empty();
 }
 
-/// The edit that makes the rows of \a before those of \a after.
+/// Returns the edit that turns the rows \a before into the rows \a after.
 Platform::Edit editBetween(const std::vector<Model::Row> &before,
                            const std::vector<Model::Row> &after)
 {
@@ -88,7 +88,7 @@
 ExitCode commitAndPrint(const Options &options, const Platform::Edit &edit)
 {
     if (options.operator_.empty())
-        return usage("--operator NAME ...: the audit trail needs a name");
+        return usage("--operator NAME ...: the audit trail requires a name");
     const auto version = commitEdit(options, edit);
     if (!version)
         return fail();
@@ -119,7 +119,7 @@
 {
     const auto &arguments = options.arguments_;
     if (arguments.size() < 3)
-        return usage("set 'KIND NAME' COLUMN=VALUE ... (COLUMN= takes the cell out)");
+        return usage("set 'KIND NAME' COLUMN=VALUE ... (COLUMN= removes the cell)");
     const auto key = Model::rowKeyFromText(arguments[1]);
     if (!key)
         return fail();
@@ -134,7 +134,7 @@
         if (!value.empty())
             cell = value;
     }
-    // All mistakes at once are more use than the first one, which the commit would tell.
+    // Reports all errors at once; the commit reports only the first one.
     const auto mirror = readTable(options);
     if (!mirror)
         return fail();
@@ -271,7 +271,8 @@
     return ExitCode::Ok;
 }
 
-/// Asks instances by their addresses: with the store down there is no list and no table to read.
+/// Requests instances by address: while the store is down, neither the list of instances nor the
+/// table can be read.
 ExitCode statusOfAsked(const Options &options)
 {
     std::istringstream list(options.ask_);
@@ -315,7 +316,8 @@
     {"show", "show ['KIND NAME']          print the table or some rows", show},
     {"set", "set 'KIND NAME' COL=VAL...  change cells of a row, or add the row", set},
     {"remove", "remove 'KIND NAME'          remove a row", remove},
-    {"validate", "validate FILE               check a table's text, nothing is changed", validate},
+    {"validate", "validate FILE               check a table file without changing anything",
+     validate},
     {"diff", "diff FILE                   what 'apply' would change",
      [](const Options &options) {
          return diffOrApply(options, false);
@@ -329,10 +331,9 @@
     {"history", "history                     the audit trail", history},
     {"explain", "explain SERVICE CALLER --origin REGION [--at TIME]  why traffic goes where",
      explainCommand},
-    {"quarantines", "quarantines --ask ADDRESSES  requests that are kept from targets",
-     listQuarantines},
-    {"lift", "lift PRINT --ask ADDRESSES  send such a request to targets again", liftQuarantine},
-    {"status", "status [--ask ADDRESSES]    which version is in force where; drains", status},
+    {"quarantines", "quarantines --ask ADDRESSES  list the quarantined requests", listQuarantines},
+    {"lift", "lift PRINT --ask ADDRESSES  release a request from quarantine", liftQuarantine},
+    {"status", "status [--ask ADDRESSES]    table versions in use, and drains", status},
 };
 
 } // namespace
--- a/Utilities/Tablectl/Commands.h
+++ b/Utilities/Tablectl/Commands.h
@@ -8,7 +8,7 @@
 
 namespace Tablectl {
 
-/// What the command line chose.
+/// Options of the command line.
 struct Options
 {
     Model::Address platform_;
@@ -16,18 +16,19 @@
     std::string editId_;
     std::vector<std::string> arguments_;
     Model::Milliseconds timeout_{2000};
-    /// For edits from a file: the version that the operator looked at.
+    /// For edits from a file: the table version that the edit is based on.
     std::optional<Model::TableVersion> base_;
     std::string start_;
     std::string end_;
     std::string origin_;
     std::string at_;
-    /// For status: addresses joined by commas, asked instead of the platform's list.
+    /// For status, quarantines and lift: comma-separated addresses, requested instead of the
+    /// platform's list.
     std::string ask_;
 };
 
 /// Runs the command named by the first argument and returns the exit code. Output goes to standard
-/// output, reasons to standard error. Thread safety: none.
+/// output, error messages to standard error. Thread safety: none.
 Observe::ExitCode runCommand(const Options &options);
 
 /// Returns the list of commands for the help. Thread safety: any thread.
--- a/Utilities/Tablectl/Explain.h
+++ b/Utilities/Tablectl/Explain.h
@@ -6,17 +6,17 @@
 
 namespace Tablectl {
 
-/// Returns, line by line, how a request of \a caller for \a service from \a origin is treated at
-/// \a at by the table alone: its class, where the traffic goes and why, and what would be refused.
+/// Describes how the table alone treats a request of \a caller for \a service from \a origin at
+/// time \a at: its class, where its traffic goes and why, and which requests are refused.
 ///
-/// Returns nothing, with UnknownService or BadLookupQuery as the last reason, for names that the
-/// table does not have. Thread safety: any thread.
+/// Returns std::nullopt, with UnknownService or BadLookupQuery as the last reason, if the table
+/// does not contain \a service or \a origin. Thread safety: any thread.
 std::optional<std::string> explain(const Model::Table &table, const Model::ServiceId &service,
                                    const Model::CallerId &caller, const Model::RegionId &origin,
                                    Model::WallTime at);
 
-/// Returns the scheduled and running drains with their progress, a line for each service and
-/// failure domain. Thread safety: any thread.
+/// Returns the scheduled and running drains with their progress, one line per service and failure
+/// domain. Thread safety: any thread.
 std::string drainsText(const Model::Table &table, Model::WallTime now);
 
 } // namespace Tablectl
--- a/Utilities/Tablectl/LiveState.h
+++ b/Utilities/Tablectl/LiveState.h
@@ -7,16 +7,17 @@
 
 namespace Tablectl {
 
-/// Asks an instance's control process and returns what an operator needs of its answer: readiness,
-/// the versions in use (STALE below \a inStore), members it takes for dead, regions it hears
-/// nothing of, leaving targets and shares on their way. One line, and one for each such thing.
+/// Requests the status of an instance's control process and summarizes it: readiness, the table
+/// versions in use (STALE if older than \a inStore), members considered failed, regions without
+/// recent updates, leaving targets and shares that are shifting. One line, and one for each of
+/// these.
 ///
 /// Thread safety: any thread. Waits up to 1 s.
 std::string instanceText(const Model::Instance &instance, Model::TableVersion inStore);
 
-/// Returns where a request would go now, by the first instance of \a origin that answers: the
-/// entries that a look-up names, the shares in force if they differ from the plan, the regions that
-/// are out and the targets that leave.
+/// Returns where a request goes now, according to the first instance of \a origin that answers: the
+/// entries that a look-up returns, the shares in force if they differ from the plan, the
+/// unavailable regions and the leaving targets.
 ///
 /// Thread safety: any thread. Waits up to 1 s for each instance that does not answer.
 std::string nowText(const std::vector<Model::Instance> &instances, const Model::ServiceId &service,
--- a/Utilities/Tablectl/PlatformCalls.cpp
+++ b/Utilities/Tablectl/PlatformCalls.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Runs one coroutine to its end and returns what it returned, the last reason included.
+/// Runs a coroutine to completion and returns its result; the last reason is kept.
 template <typename Result, typename Start>
 std::optional<Result> runToEnd(const Options &options, Start start)
 {
@@ -25,7 +25,7 @@
     return result;
 }
 
-/// An id that no other edit has; an operator may name one to repeat an edit.
+/// Returns a unique edit id; an operator can pass an id instead to retry an edit.
 Model::EditId newEditId()
 {
     std::random_device device;
--- a/Utilities/Tablectl/PlatformCalls.h
+++ b/Utilities/Tablectl/PlatformCalls.h
@@ -4,14 +4,14 @@
 
 namespace Tablectl {
 
-/// Blocking forms of what LibPlatform offers, for a tool that has nothing else to do meanwhile.
-/// Errors are those of LibPlatform. Thread safety: none.
+/// Blocking wrappers of LibPlatform's coroutines. Errors are those of LibPlatform. Thread safety:
+/// none.
 std::optional<Platform::TableMirror> readTable(const Options &options);
 std::optional<Model::TableVersion> commitEdit(const Options &options, Platform::Edit edit);
 std::optional<std::vector<Observe::AuditRecord>> readHistory(const Options &options);
 std::optional<std::vector<Model::Instance>> readInstances(const Options &options);
 
-/// Returns the time now, to a millisecond.
+/// Returns the current time in milliseconds.
 Model::WallTime wallNow();
 
 } // namespace Tablectl
--- a/Utilities/Tablectl/Quarantines.cpp
+++ b/Utilities/Tablectl/Quarantines.cpp
@@ -23,7 +23,8 @@
     return ExitCode::Failed;
 }
 
-/// Nothing, with BadValue as the last reason, if one is no address or there is none.
+/// Returns std::nullopt, with BadValue as the last reason, if an address is invalid or none is
+/// given.
 std::optional<std::vector<Model::Address>> addressesIn(const std::string &text)
 {
     std::vector<Model::Address> addresses;
@@ -35,7 +36,7 @@
         addresses.push_back(*address);
     }
     if (addresses.empty())
-        return Model::fail(ResultCode::BadValue, "--ask names no address");
+        return Model::fail(ResultCode::BadValue, "--ask contains no address");
     return addresses;
 }
 
@@ -91,7 +92,8 @@
         std::cout << "lifted at " << toText(address) << "\n";
         return ExitCode::Ok;
     }
-    Model::fail(ResultCode::UnknownRow, "nobody asked has " + toText(*print) + " in quarantine");
+    Model::fail(ResultCode::UnknownRow,
+                "none of the --ask addresses has " + toText(*print) + " in quarantine");
     return fail();
 }
 
--- a/Utilities/Tablectl/Quarantines.h
+++ b/Utilities/Tablectl/Quarantines.h
@@ -4,12 +4,12 @@
 
 namespace Tablectl {
 
-/// Prints the requests that each of the asked addresses (admin of instanced, entry_admin of entryd)
-/// keeps from targets. Thread safety: none.
+/// Prints the requests that each of the given addresses (admin of instanced, entry_admin of entryd)
+/// holds in quarantine. Thread safety: none.
 Observe::ExitCode listQuarantines(const Options &options);
 
-/// Lifts the quarantine named by the second argument at the first of the asked addresses that has
-/// it; the instances tell each other. Thread safety: none.
+/// Releases the quarantine named by the second argument at the first of the given addresses that
+/// holds it; the instances propagate the release to each other. Thread safety: none.
 Observe::ExitCode liftQuarantine(const Options &options);
 
 } // namespace Tablectl
--- a/Utilities/Tablectl/main.cpp
+++ b/Utilities/Tablectl/main.cpp
@@ -3,19 +3,22 @@
 #include <gflags/gflags.h>
 #include <iostream>
 
-DEFINE_string(platform, "", "IP:port of the platform's table service (needed but for validate)");
-DEFINE_string(operator, "", "your name, for the audit trail (needed for edits)");
-DEFINE_string(edit_id, "", "id of the edit; give the same to repeat one whose outcome is unknown");
-DEFINE_uint64(base, 0, "the version that you looked at; rows changed since are a conflict");
-DEFINE_string(start, "", "drain: when it begins, as 2026-12-02T18:00:00Z; default now");
-DEFINE_string(end, "", "drain: when traffic begins to come back");
+DEFINE_string(platform, "",
+              "IP:port of the platform's table service (required except by validate)");
+DEFINE_string(operator, "", "your name, for the audit trail (required for edits)");
+DEFINE_string(edit_id, "",
+              "id of the edit; pass the same id to retry an edit whose outcome is unknown");
+DEFINE_uint64(base, 0,
+              "the table version that the edit is based on; rows changed since are a conflict");
+DEFINE_string(start, "", "drain: start time, as 2026-12-02T18:00:00Z; default now");
+DEFINE_string(end, "", "drain: when traffic begins to return");
 DEFINE_string(origin, "", "explain: the region of the caller");
 DEFINE_string(at, "", "explain: the time; default now");
 DEFINE_string(
     ask, "",
-    "status: control_admin addresses to ask instead of the platform's list; quarantines and "
+    "status: control_admin addresses to use instead of the platform's list; quarantines and "
     "lift: admin addresses of instanced, entry_admin of entryd");
-DEFINE_int32(timeout_ms, 2000, "longest wait for one answer of the platform");
+DEFINE_int32(timeout_ms, 2000, "timeout of one request to the platform");
 
 int main(int argc, char **argv)
 {
@@ -46,7 +49,7 @@
     const bool needsPlatform = command != "validate" && !isOfAsked;
     const auto platform = Model::addressFromText(FLAGS_platform);
     if (needsPlatform && !platform) {
-        std::cerr << "--platform IP:port is needed; --help tells more\n";
+        std::cerr << "--platform IP:port is required; see --help\n";
         return static_cast<int>(Observe::ExitCode::BadUsage);
     }
     options.platform_ = platform.value_or(Model::Address());
