--- a/Tests/Harness/Demo.cpp
+++ b/Tests/Harness/Demo.cpp
@@ -16,7 +16,7 @@
 using Harness::Site;
 using Model::Milliseconds;
 
-constexpr Milliseconds stopPatience{40000};
+constexpr Milliseconds stopTimeout{40000};
 
 struct ServiceLoad
 {
@@ -71,13 +71,13 @@
     return from == std::string::npos ? "" : text.substr(from, text.find('\n', from) - from);
 }
 
-void say(const std::string &text)
+void printLine(const std::string &text)
 {
     std::cout << text << std::endl;
 }
 
 /// Prints the load tool's output until it exits; starts the edit and the drain at their times.
-void follow(Site &site, Harness::Process &load, const std::string &drained)
+void followLoad(Site &site, Harness::Process &load, const std::string &drained)
 {
     const auto startedAt = std::chrono::steady_clock::now();
     std::size_t shown = 0;
@@ -93,13 +93,13 @@
             const std::string row = "service " + site.table().services().front().id_.value();
             std::string output;
             site.tablectl({"--operator=demo", "set", row, "queue_ms=250"}, &output);
-            say("edit: " + row + " queue_ms=250: " + output.substr(0, output.find('\n')));
+            printLine("edit: " + row + " queue_ms=250: " + output.substr(0, output.find('\n')));
         }
         if (!hasDrained && passed > FLAGS_seconds * 0.4) {
             hasDrained = true;
             std::string output;
             site.tablectl({"--operator=demo", "drain", drained}, &output);
-            say("drain of " + drained + ": " + output.substr(0, output.find('\n')));
+            printLine("drain of " + drained + ": " + output.substr(0, output.find('\n')));
         }
     }
     std::cout << load.log().substr(shown) << std::flush;
@@ -113,22 +113,23 @@
     Harness::SiteOptions options;
     options.example_ = FLAGS_site;
     Site site(options);
-    say("starting the platform's stand-in, " + std::to_string(site.targets().size())
-        + " targets and " + std::to_string(site.instances().size()) + " instances");
+    printLine("starting the platform's stand-in, " + std::to_string(site.targets().size())
+              + " targets and " + std::to_string(site.instances().size()) + " instances");
     site.start();
-    say("all instances serve; logs are in " + std::filesystem::relative(site.directory()).string());
+    printLine("all instances serve; logs are in "
+              + std::filesystem::relative(site.directory()).string());
 
     const std::string drained = site.table().domains().front().id_.value();
     const auto load
         = site.loadtool("load", profileFor(site, FLAGS_site), FLAGS_seconds, 1, {"--progress"});
     load->start();
-    follow(site, *load, drained);
+    followLoad(site, *load, drained);
     std::string status;
     site.tablectl({"status"}, &status);
-    say("\n" + status);
+    printLine("\n" + status);
 
     const auto stopAt = std::chrono::steady_clock::now();
-    const bool isClean = site.stopAllInstances(stopPatience);
+    const bool isClean = site.stopAllInstances(stopTimeout);
     const double stopSeconds = Model::inSeconds(std::chrono::steady_clock::now() - stopAt);
 
     const std::string log = load->log();
@@ -136,15 +137,15 @@
     const std::string judged = lineWith(log, "judged");
     const std::string unknown
         = std::to_string(std::stol(valueIn(all, "unknown")) + std::stol(valueIn(all, "no_answer")));
-    say("measure                     value");
-    say("p50 of all, ms              " + valueIn(all, "p50_ms"));
-    say("p99 of all, ms              " + valueIn(all, "p99_ms"));
-    say("told not run, but ran       " + valueIn(judged, "not_run_but_run"));
-    say("planned stop of all, s      " + std::to_string(stopSeconds));
-    say(std::string("every process exited with 0  ") + (isClean ? "yes" : "NO"));
-    say("demo: requests=" + valueIn(all, "requests") + " answered=" + valueIn(all, "answered")
-        + " not_run=" + valueIn(all, "not_run") + " unknown=" + unknown
-        + " wrong=" + valueIn(all, "wrong") + " duplicated=" + valueIn(judged, "duplicated"));
+    printLine("measure                     value");
+    printLine("p50 of all, ms              " + valueIn(all, "p50_ms"));
+    printLine("p99 of all, ms              " + valueIn(all, "p99_ms"));
+    printLine("told not run, but ran       " + valueIn(judged, "not_run_but_run"));
+    printLine("planned stop of all, s      " + std::to_string(stopSeconds));
+    printLine(std::string("every process exited with 0  ") + (isClean ? "yes" : "NO"));
+    printLine("demo: requests=" + valueIn(all, "requests") + " answered=" + valueIn(all, "answered")
+              + " not_run=" + valueIn(all, "not_run") + " unknown=" + unknown
+              + " wrong=" + valueIn(all, "wrong") + " duplicated=" + valueIn(judged, "duplicated"));
     const bool isGood = isClean && valueIn(all, "wrong") == "0"
                         && valueIn(judged, "duplicated") == "0"
                         && valueIn(judged, "not_run_but_run") == "0";
--- a/Tests/Harness/Process.cpp
+++ b/Tests/Harness/Process.cpp
@@ -57,12 +57,12 @@
         ::kill(pid_, number);
 }
 
-std::optional<int> Process::wait(Model::Milliseconds patience)
+std::optional<int> Process::wait(Model::Milliseconds maxWait)
 {
     if (pid_ <= 0)
         return 0;
     int status = 0;
-    const bool hasEnded = waitUntil(patience, [&] {
+    const bool hasEnded = waitUntil(maxWait, [&] {
         return waitpid(pid_, &status, WNOHANG) == pid_;
     });
     if (!hasEnded)
--- a/Tests/Harness/Process.h
+++ b/Tests/Harness/Process.h
@@ -21,8 +21,8 @@
     void start();
     void signal(int number);
     /// Returns the exit code, 128 + the signal number, or std::nullopt if the process still runs
-    /// after \a patience.
-    std::optional<int> wait(Model::Milliseconds patience);
+    /// after \a maxWait.
+    std::optional<int> wait(Model::Milliseconds maxWait);
     void kill();
     bool isRunning() const { return pid_ > 0; }
     /// Returns whether the process blocks or handles the signal. A signal that arrives while the
@@ -40,20 +40,20 @@
     pid_t pid_ = -1;
 };
 
-/// Polls \a isTrue until it returns true. Returns whether it did within \a patience.
-template <typename Question>
-bool waitUntil(Model::Milliseconds patience, Question isTrue);
+/// Polls \a predicate until it returns true. Returns whether it did within \a maxWait.
+template <typename Predicate>
+bool waitUntil(Model::Milliseconds maxWait, Predicate predicate);
 
 /// Pauses the calling thread.
 void pause(Model::Milliseconds duration);
 
 } // namespace Harness
 
-template <typename Question>
-bool Harness::waitUntil(Model::Milliseconds patience, Question isTrue)
+template <typename Predicate>
+bool Harness::waitUntil(Model::Milliseconds maxWait, Predicate predicate)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
-    while (!isTrue()) {
+    const auto end = std::chrono::steady_clock::now() + maxWait;
+    while (!predicate()) {
         if (std::chrono::steady_clock::now() >= end)
             return false;
         pause(Model::Milliseconds(20));
--- a/Tests/Harness/Samples.cpp
+++ b/Tests/Harness/Samples.cpp
@@ -37,21 +37,21 @@
     return result;
 }
 
-std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &told)
+std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &outcome)
 {
     return static_cast<std::size_t>(
         std::count_if(lines.begin(), lines.end(), [&](const auto &line) {
-            return line.told_ == told;
+            return line.told_ == outcome;
         }));
 }
 
 std::string refusalsOf(const std::vector<SampleLine> &lines)
 {
-    constexpr int mostShown = 12;
+    constexpr int maxShown = 12;
     std::ostringstream text;
     int shown = 0;
     for (const auto &line : lines) {
-        if (line.told_ == "run" || ++shown > mostShown)
+        if (line.told_ == "run" || ++shown > maxShown)
             continue;
         text << line.stream_ << " sent=" << line.sentSeconds_ << " told=" << line.told_
              << " code=" << line.code_ << " entry=" << line.entry_ << " sends=" << line.sends_
@@ -60,7 +60,7 @@
     return text.str();
 }
 
-double latencyMs(const std::vector<SampleLine> &lines, double part)
+double latencyMs(const std::vector<SampleLine> &lines, double fraction)
 {
     std::vector<double> latencies;
     for (const auto &line : lines) {
@@ -71,7 +71,7 @@
         return 0;
     std::sort(latencies.begin(), latencies.end());
     const auto last = static_cast<double>(latencies.size() - 1);
-    return latencies[static_cast<std::size_t>(last * part + 0.5)];
+    return latencies[static_cast<std::size_t>(last * fraction + 0.5)];
 }
 
 std::vector<double> domainShares(const std::vector<SampleLine> &lines, const Model::Table &table,
--- a/Tests/Harness/Samples.h
+++ b/Tests/Harness/Samples.h
@@ -32,10 +32,10 @@
 /// Returns one line for each of the first requests that were not run, for assertion messages.
 std::string refusalsOf(const std::vector<SampleLine> &lines);
 
-std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &told);
+std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &outcome);
 
 /// Returns the latency quantile of the answered requests in milliseconds.
-double latencyMs(const std::vector<SampleLine> &lines, double part);
+double latencyMs(const std::vector<SampleLine> &lines, double fraction);
 
 /// Returns each failure domain's share of the requests answered between two times.
 std::vector<double> domainShares(const std::vector<SampleLine> &lines, const Model::Table &table,
--- a/Tests/Harness/SingleQueue.cpp
+++ b/Tests/Harness/SingleQueue.cpp
@@ -22,13 +22,13 @@
     return waits;
 }
 
-double quantile(std::vector<double> values, double part)
+double quantile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
     const auto last = static_cast<double>(values.size() - 1);
-    return values[static_cast<std::size_t>(last * part + 0.5)];
+    return values[static_cast<std::size_t>(last * fraction + 0.5)];
 }
 
 } // namespace Harness
--- a/Tests/Harness/SingleQueue.h
+++ b/Tests/Harness/SingleQueue.h
@@ -9,7 +9,7 @@
 /// any distribution of the requests over the slots.
 std::vector<double> singleQueueWaits(std::vector<double> arrivals, int slots, double serviceTime);
 
-/// Returns the value that the fraction \a part of \a values does not exceed.
-double quantile(std::vector<double> values, double part);
+/// Returns the value that \a fraction of \a values does not exceed.
+double quantile(std::vector<double> values, double fraction);
 
 } // namespace Harness
--- a/Tests/Harness/Site.cpp
+++ b/Tests/Harness/Site.cpp
@@ -19,9 +19,9 @@
 
 constexpr std::uint16_t platformPort = 9000;
 constexpr std::uint16_t proxyPort = 7900;
-constexpr Milliseconds startPatience{30000};
+constexpr Milliseconds startTimeout{30000};
 
-std::string ownDirectory()
+std::string executableDirectory()
 {
     return std::filesystem::read_symlink("/proc/self/exe").parent_path();
 }
@@ -65,11 +65,11 @@
     : options_(std::move(options))
 {
     if (options_.binaries_.empty())
-        options_.binaries_ = ownDirectory();
-    chooseNet();
+        options_.binaries_ = executableDirectory();
+    reserveNet();
     static int sites = 0;
     const std::string run = std::to_string(getpid()) + "-" + std::to_string(++sites);
-    directory_ = ownDirectory() + "/../runs/" + run;
+    directory_ = executableDirectory() + "/../runs/" + run;
     std::filesystem::remove_all(directory_);
     std::filesystem::create_directories(directory_);
     makeTargets();
@@ -91,8 +91,9 @@
 std::string Site::binary(const std::string &name) const
 {
     // Test binaries are always of this version; only the product's binaries can be of another one.
-    const bool isOwn = std::isupper(static_cast<unsigned char>(name.front())) || name == "loadtool";
-    return (isOwn ? ownDirectory() : options_.binaries_) + "/" + name;
+    const bool isTestBinary
+        = std::isupper(static_cast<unsigned char>(name.front())) || name == "loadtool";
+    return (isTestBinary ? executableDirectory() : options_.binaries_) + "/" + name;
 }
 
 std::string Site::write(const std::string &name, const std::string &text) const
@@ -153,7 +154,7 @@
     for (auto &instance : instances_)
         startInstance(instance);
     for (auto &instance : instances_) {
-        if (!waitUntilServing(instance, startPatience)) {
+        if (!waitUntilServing(instance, startTimeout)) {
             throw std::runtime_error(instance.row_.id_.value() + " does not serve: "
                                      + instance.control_->log() + instance.entry_->log());
         }
@@ -176,10 +177,10 @@
     instance.entry_ = makeProcess(id + "-entryd", {binary("entryd"), settings});
 }
 
-bool Site::waitUntilServing(SiteInstance &instance, Milliseconds patience)
+bool Site::waitUntilServing(SiteInstance &instance, Milliseconds maxWait)
 {
     const Model::Address entryAdmin{instance.host_, 7006};
-    return waitUntil(patience, [&] {
+    return waitUntil(maxWait, [&] {
         const auto status = getJson(entryAdmin, "/status", Milliseconds(500));
         if (!status || !status->value("ready", false))
             return false;
@@ -192,17 +193,17 @@
     });
 }
 
-bool Site::stopInstance(SiteInstance &instance, Milliseconds patience)
+bool Site::stopInstance(SiteInstance &instance, Milliseconds maxWait)
 {
     for (Process *process : instance.processes())
         process->signal(SIGTERM);
     bool isClean = true;
     for (Process *process : instance.processes())
-        isClean &= process->wait(patience) == std::optional<int>(0);
+        isClean &= process->wait(maxWait) == std::optional<int>(0);
     return isClean;
 }
 
-bool Site::replaceAllInstances(Milliseconds patience)
+bool Site::replaceAllInstances(Milliseconds maxWait)
 {
     bool isClean = true;
     for (const char *number : {"-1", "-2"}) {
@@ -217,17 +218,17 @@
         }
         for (auto *instance : group) {
             for (auto *process : instance->processes())
-                isClean = process->wait(patience) == 0 && isClean;
+                isClean = process->wait(maxWait) == 0 && isClean;
         }
         for (auto *instance : group)
             startInstance(*instance);
         for (auto *instance : group)
-            isClean = waitUntilServing(*instance, patience) && isClean;
+            isClean = waitUntilServing(*instance, maxWait) && isClean;
     }
     return isClean;
 }
 
-bool Site::stopAllInstances(Milliseconds patience)
+bool Site::stopAllInstances(Milliseconds maxWait)
 {
     for (auto &instance : instances_) {
         for (Process *process : instance.processes()) {
@@ -238,7 +239,7 @@
     bool isClean = true;
     for (auto &instance : instances_) {
         for (Process *process : instance.processes())
-            isClean &= !process || process->wait(patience) == std::optional<int>(0);
+            isClean &= !process || process->wait(maxWait) == std::optional<int>(0);
     }
     return isClean;
 }
@@ -322,7 +323,8 @@
 }
 
 std::unique_ptr<Process> Site::loadtool(const std::string &name, const std::string &profile,
-                                        int seconds, int seed, std::vector<std::string> more)
+                                        int seconds, int seed,
+                                        std::vector<std::string> extraArguments)
 {
     std::vector<std::string> command = {binary("loadtool"),
                                         "--profile=" + write(name + ".profile", profile),
@@ -331,7 +333,7 @@
                                         "--seconds=" + std::to_string(seconds),
                                         "--seed=" + std::to_string(seed),
                                         "--samples=" + samplesPath(name)};
-    command.insert(command.end(), more.begin(), more.end());
+    command.insert(command.end(), extraArguments.begin(), extraArguments.end());
     return makeProcess(name, std::move(command));
 }
 
--- a/Tests/Harness/Site.h
+++ b/Tests/Harness/Site.h
@@ -26,7 +26,7 @@
     std::string endUnder_;
     /// Number of instances to start, at most 12; the first instance of each failure domain first.
     std::size_t instances_ = 12;
-    int lookupTimeToLiveMs_ = 1000;
+    int lookupTtlMs_ = 1000;
     /// Routes connections between regions and failure domains through the fault-injecting proxy.
     bool hasProxy_ = false;
     double delayBetweenDomainsMs_ = 0;
@@ -72,15 +72,15 @@
     /// Creates the instance's processes without starting them.
     void prepareInstance(SiteInstance &instance);
     /// Waits until the instance's entry is ready and its look-up returns a local entry.
-    bool waitUntilServing(SiteInstance &instance, Model::Milliseconds patience);
+    bool waitUntilServing(SiteInstance &instance, Model::Milliseconds maxWait);
     /// Performs a planned stop of an instance; returns whether each process exited with 0.
-    bool stopInstance(SiteInstance &instance, Model::Milliseconds patience);
+    bool stopInstance(SiteInstance &instance, Model::Milliseconds maxWait);
     /// Performs a planned stop of all instances at the same time.
-    bool stopAllInstances(Model::Milliseconds patience);
+    bool stopAllInstances(Model::Milliseconds maxWait);
     /// Performs a planned restart of all instances, in two groups with one instance of each failure
     /// domain. Returns whether each process exited with 0 and each new instance serves within \a
-    /// patience.
-    bool replaceAllInstances(Model::Milliseconds patience);
+    /// maxWait.
+    bool replaceAllInstances(Model::Milliseconds maxWait);
     /// Publishes the list of instances on the platform; \a leaving holds the ids of leaving ones.
     void writeInstanceList(const std::set<std::string> &leaving = {});
 
@@ -104,7 +104,7 @@
     /// Writes \a profile to a file and creates a load tool process for it, without starting it.
     std::unique_ptr<Process> loadtool(const std::string &name, const std::string &profile,
                                       int seconds, int seed = 1,
-                                      std::vector<std::string> more = {});
+                                      std::vector<std::string> extraArguments = {});
     std::string samplesPath(const std::string &name) const;
     /// Returns the loopback source address of the region's callers.
     std::string callerSource(const std::string &region) const;
@@ -115,7 +115,7 @@
     std::string targetList() const;
 
 private:
-    void chooseNet();
+    void reserveNet();
     std::string exampleText() const;
     void makeTargets();
     void makeInstances();
@@ -127,8 +127,8 @@
                                          std::vector<std::string> command) const;
     double delayBetween(const Model::Instance &from, const Model::RegionId &region,
                         const Model::FailureDomainId &domain) const;
-    void addWay(SiteInstance &from, const Model::Address &to, double delayMs,
-                const std::string &group);
+    void addForwardingRule(SiteInstance &from, const Model::Address &to, double delayMs,
+                           const std::string &group);
 
     SiteOptions options_;
     int net_ = 0;
@@ -139,10 +139,10 @@
     std::vector<SiteTarget> targets_;
     std::vector<SiteInstance> instances_;
     std::optional<Model::Table> table_;
-    std::string ways_;
+    std::string forwardingRules_;
     /// Lines of the [dial] section by instance.
     std::map<std::string, std::string> dial_;
-    int lastWay_ = 0;
+    int lastRule_ = 0;
 };
 
 /// Returns the JSON body of a GET request, or std::nullopt on failure.
--- a/Tests/Harness/SiteLayout.cpp
+++ b/Tests/Harness/SiteLayout.cpp
@@ -20,10 +20,10 @@
 constexpr std::uint16_t lockPort = 6999;
 constexpr std::uint16_t proxyPort = 7900;
 constexpr int instancesOfDomain = 2;
-constexpr Milliseconds startPatience{30000};
+constexpr Milliseconds startTimeout{30000};
 
 /// Reserves a loopback net by binding a port in it. Returns the socket, or -1 if the net is in use.
-int tryLock(int net)
+int tryReserve(int net)
 {
     const int handle = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in address = {};
@@ -38,12 +38,12 @@
 
 } // namespace
 
-void Site::chooseNet()
+void Site::reserveNet()
 {
     const int span = lastNet - firstNet;
     for (int i = 0; i < span; ++i) {
         net_ = firstNet + (getpid() + i) % span;
-        netLock_ = tryLock(net_);
+        netLock_ = tryReserve(net_);
         if (netLock_ >= 0)
             return;
     }
@@ -134,15 +134,15 @@
     return from.domain_ == domain ? 0 : options_.delayBetweenDomainsMs_;
 }
 
-void Site::addWay(SiteInstance &from, const Model::Address &to, double delayMs,
-                  const std::string &group)
+void Site::addForwardingRule(SiteInstance &from, const Model::Address &to, double delayMs,
+                             const std::string &group)
 {
-    const int number = lastWay_++;
+    const int number = lastRule_++;
     const std::string listen = "127." + std::to_string(net_) + ".200."
                                + std::to_string(1 + number / 2000) + ":"
                                + std::to_string(10000 + number % 2000);
-    ways_ += listen + " " + toText(to) + " " + std::to_string(static_cast<int>(delayMs * 1000))
-             + " " + group + "\n";
+    forwardingRules_ += listen + " " + toText(to) + " "
+                        + std::to_string(static_cast<int>(delayMs * 1000)) + " " + group + "\n";
     dial_[from.row_.id_.value()] += toText(to) + " = " + listen + "\n";
 }
 
@@ -157,25 +157,25 @@
                 = from.row_.region_ == to.row_.region_
                       ? "inside-" + from.row_.region_.value()
                       : from.row_.region_.value() + "-" + to.row_.region_.value();
-            addWay(from, to.row_.addresses_.control_, delay, group);
-            addWay(from, to.row_.addresses_.entryPeer_, delay, group);
+            addForwardingRule(from, to.row_.addresses_.control_, delay, group);
+            addForwardingRule(from, to.row_.addresses_.entryPeer_, delay, group);
         }
         for (const auto &target : targets_) {
             const auto *domain = table_->domain(target.row_.domain_);
             if (domain->region_ == from.row_.region_) {
-                addWay(from, target.row_.address_,
-                       delayBetween(from.row_, domain->region_, domain->id_),
-                       "target-" + target.row_.id_.value());
+                addForwardingRule(from, target.row_.address_,
+                                  delayBetween(from.row_, domain->region_, domain->id_),
+                                  "target-" + target.row_.id_.value());
             }
         }
-        addWay(from, platform(), 1, "platform-" + from.row_.region_.value());
+        addForwardingRule(from, platform(), 1, "platform-" + from.row_.region_.value());
     }
     const std::string host = "127." + std::to_string(net_) + ".0.2";
     const Model::Address control{host, proxyPort};
     proxy_ = makeProcess("proxy", {binary("FaultProxy"), "--address=" + toText(control),
-                                   "--ways=" + write("ways", ways_)});
+                                   "--ways=" + write("ways", forwardingRules_)});
     proxy_->start();
-    if (!waitUntil(startPatience, [&] {
+    if (!waitUntil(startTimeout, [&] {
             Http::SimpleRequest request;
             request.address_ = control;
             request.method_ = Http::http::verb::post;
@@ -190,7 +190,7 @@
     platform_
         = makeProcess("platform", {binary("PlatformStandIn"), "--address=" + toText(platform())});
     platform_->start();
-    if (!waitUntil(startPatience, [&] {
+    if (!waitUntil(startTimeout, [&] {
             return getJson(platform(), "/standin/x").has_value();
         }))
         throw std::runtime_error("platform stand-in did not start: " + platform_->log());
@@ -218,15 +218,15 @@
             seeds = toText(other.row_.addresses_.control_);
     }
     const std::string &host = instance.host_;
-    std::string text = "[instance]\nid = " + instance.row_.id_.value()
-                       + "\nregion = " + instance.row_.region_.value() + "\ndomain = "
-                       + instance.row_.domain_.value() + "\n[listen]\nlookup = " + host
-                       + ":7001\nentry = " + host + ":7002\nentry_peer = " + host
-                       + ":7003\ncontrol = " + host + ":7004\ncontrol_local = " + host
-                       + ":7005\nentry_admin = " + host + ":7006\nlookup_admin = " + host
-                       + ":7007\ncontrol_admin = " + host + ":7008\n[platform]\naddress = "
-                       + toText(platform()) + "\ntimeout_ms = 1000\n[lookup]\nttl_ms = "
-                       + std::to_string(options_.lookupTimeToLiveMs_) + "\n";
+    std::string text
+        = "[instance]\nid = " + instance.row_.id_.value() + "\nregion = "
+          + instance.row_.region_.value() + "\ndomain = " + instance.row_.domain_.value()
+          + "\n[listen]\nlookup = " + host + ":7001\nentry = " + host + ":7002\nentry_peer = "
+          + host + ":7003\ncontrol = " + host + ":7004\ncontrol_local = " + host
+          + ":7005\nentry_admin = " + host + ":7006\nlookup_admin = " + host
+          + ":7007\ncontrol_admin = " + host + ":7008\n[platform]\naddress = " + toText(platform())
+          + "\ntimeout_ms = 1000\n[lookup]\nttl_ms = " + std::to_string(options_.lookupTtlMs_)
+          + "\n";
     if (!seeds.empty())
         text += "[peers]\nseeds = " + seeds + "\n";
     const auto dial = dial_.find(instance.row_.id_.value());
--- a/Tests/StandIns/FaultProxy.cpp
+++ b/Tests/StandIns/FaultProxy.cpp
@@ -36,7 +36,7 @@
     std::uint64_t frozenBelow_ = 0;
 };
 
-struct Way
+struct ForwardingRule
 {
     Model::Address listen_;
     Model::Address target_;
@@ -83,11 +83,11 @@
     {
     }
 
-    bool addWay(const Way &way)
+    bool addForwardingRule(const ForwardingRule &rule)
     {
         auto acceptor = std::make_shared<tcp::acceptor>(context_);
         ErrorCode error;
-        const auto endpoint = Http::endpointOf(way.listen_);
+        const auto endpoint = Http::endpointOf(rule.listen_);
         acceptor->open(endpoint.protocol(), error);
         acceptor->set_option(Http::asio::socket_base::reuse_address(true), error);
         acceptor->bind(endpoint, error);
@@ -95,10 +95,10 @@
             acceptor->listen(Http::asio::socket_base::max_listen_connections, error);
         if (error)
             return false;
-        groups_[way.group_];
-        Http::asio::co_spawn(context_, acceptLoop(acceptor, way), Http::asio::detached);
-        auto socket = std::make_shared<udp::socket>(context_, udpEndpoint(way.listen_));
-        Http::asio::co_spawn(context_, datagramLoop(socket, way), Http::asio::detached);
+        groups_[rule.group_];
+        Http::asio::co_spawn(context_, acceptLoop(acceptor, rule), Http::asio::detached);
+        auto socket = std::make_shared<udp::socket>(context_, udpEndpoint(rule.listen_));
+        Http::asio::co_spawn(context_, datagramLoop(socket, rule), Http::asio::detached);
         return true;
     }
 
@@ -126,7 +126,7 @@
     }
 
     /// Forwards datagrams in one direction; any mode other than "pass" drops them.
-    Task<void> datagramLoop(std::shared_ptr<udp::socket> socket, Way way)
+    Task<void> datagramLoop(std::shared_ptr<udp::socket> socket, ForwardingRule rule)
     {
         std::string bytes(chunkBytes, '\0');
         while (true) {
@@ -135,63 +135,64 @@
             const std::size_t received = co_await socket->async_receive_from(
                 Http::asio::buffer(bytes), sender,
                 Http::asio::redirect_error(Http::asio::use_awaitable, error));
-            if (error || groups_[way.group_].mode_ != "pass")
+            if (error || groups_[rule.group_].mode_ != "pass")
                 continue;
-            spawn(sendLater(socket, bytes.substr(0, received), way));
+            spawn(sendLater(socket, bytes.substr(0, received), rule));
         }
     }
 
-    Task<void> sendLater(std::shared_ptr<udp::socket> socket, std::string bytes, Way way)
+    Task<void> sendLater(std::shared_ptr<udp::socket> socket, std::string bytes,
+                         ForwardingRule rule)
     {
-        const Model::SteadyTime arrival = std::chrono::steady_clock::now() + way.delay_;
+        const Model::SteadyTime arrival = std::chrono::steady_clock::now() + rule.delay_;
         co_await Http::sleepUntil(arrival);
         ErrorCode ignored;
-        socket->send_to(Http::asio::buffer(bytes), udpEndpoint(way.target_), 0, ignored);
+        socket->send_to(Http::asio::buffer(bytes), udpEndpoint(rule.target_), 0, ignored);
     }
 
     void cutLinks(const std::string &name)
     {
         ErrorCode ignored;
         for (const auto &[link, group] : links_) {
-            const auto alive = link.lock();
-            if (!alive || (group != name && name != "*"))
+            const auto activeLink = link.lock();
+            if (!activeLink || (group != name && name != "*"))
                 continue;
-            alive->client_.close(ignored);
-            alive->server_.close(ignored);
+            activeLink->client_.close(ignored);
+            activeLink->server_.close(ignored);
         }
     }
 
-    Task<void> acceptLoop(std::shared_ptr<tcp::acceptor> acceptor, Way way)
+    Task<void> acceptLoop(std::shared_ptr<tcp::acceptor> acceptor, ForwardingRule rule)
     {
         while (true) {
             ErrorCode error;
             tcp::socket socket = co_await acceptor->async_accept(
                 Http::asio::redirect_error(Http::asio::use_awaitable, error));
-            if (error || groups_[way.group_].mode_ == "cut")
+            if (error || groups_[rule.group_].mode_ == "cut")
                 continue;
             auto link = std::make_shared<Link>(context_, std::move(socket));
             link->number_ = nextLink_++;
             links_.remove_if([](const auto &entry) {
                 return entry.first.expired();
             });
-            links_.emplace_back(link, way.group_);
-            Http::asio::co_spawn(context_, carry(link, way), Http::asio::detached);
+            links_.emplace_back(link, rule.group_);
+            Http::asio::co_spawn(context_, forward(link, rule), Http::asio::detached);
         }
     }
 
-    Task<void> carry(std::shared_ptr<Link> link, Way way)
+    Task<void> forward(std::shared_ptr<Link> link, ForwardingRule rule)
     {
         ErrorCode error;
         co_await link->server_.async_connect(
-            Http::endpointOf(way.target_),
+            Http::endpointOf(rule.target_),
             Http::asio::redirect_error(Http::asio::use_awaitable, error));
         if (error)
             co_return;
         Http::tuneSocket(link->client_);
         Http::tuneSocket(link->server_);
-        spawn(readLoop(link, &link->client_, &link->toServer_, way, false));
+        spawn(readLoop(link, &link->client_, &link->toServer_, rule, false));
         spawn(writeLoop(link, &link->server_, &link->toServer_));
-        spawn(readLoop(link, &link->server_, &link->toClient_, way, true));
+        spawn(readLoop(link, &link->server_, &link->toClient_, rule, true));
         spawn(writeLoop(link, &link->client_, &link->toClient_));
     }
 
@@ -200,16 +201,16 @@
         Http::asio::co_spawn(context_, std::move(task), Http::asio::detached);
     }
 
-    bool swallows(const Link &link, const Way &way, bool isAnswer)
+    bool dropsData(const Link &link, const ForwardingRule &rule, bool isAnswer)
     {
-        const Group &group = groups_[way.group_];
+        const Group &group = groups_[rule.group_];
         if (link.number_ < group.frozenBelow_ || group.mode_ == "black-hole")
             return true;
         return group.mode_ == "lose-answers" && isAnswer;
     }
 
-    Task<void> readLoop(std::shared_ptr<Link> link, tcp::socket *from, Pipe *pipe, Way way,
-                        bool isAnswer)
+    Task<void> readLoop(std::shared_ptr<Link> link, tcp::socket *from, Pipe *pipe,
+                        ForwardingRule rule, bool isAnswer)
     {
         std::string chunk(chunkBytes, '\0');
         ErrorCode error;
@@ -218,9 +219,9 @@
                 Http::asio::buffer(chunk),
                 Http::asio::redirect_error(Http::asio::use_awaitable, error));
             // A hung connection does not forward the close of the other end either.
-            if (swallows(*link, way, isAnswer))
+            if (dropsData(*link, rule, isAnswer))
                 continue;
-            const auto arrival = std::chrono::steady_clock::now() + way.delay_;
+            const auto arrival = std::chrono::steady_clock::now() + rule.delay_;
             if (error) {
                 pipe->isEnded_ = true;
             } else {
@@ -260,7 +261,7 @@
     std::uint64_t nextLink_ = 1;
 };
 
-bool addWays(Proxy &proxy)
+bool addForwardingRules(Proxy &proxy)
 {
     std::ifstream file(FLAGS_ways);
     for (std::string line; std::getline(file, line);) {
@@ -274,7 +275,8 @@
         const auto targetAddress = Model::addressFromText(target);
         if (!listenAddress || !targetAddress)
             return false;
-        if (!proxy.addWay({*listenAddress, *targetAddress, Model::Microseconds(delay), group}))
+        if (!proxy.addForwardingRule(
+                {*listenAddress, *targetAddress, Model::Microseconds(delay), group}))
             return false;
     }
     return true;
@@ -288,7 +290,7 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     Http::asio::io_context context(1);
     Proxy proxy(context);
-    if (!addWays(proxy)) {
+    if (!addForwardingRules(proxy)) {
         std::cerr << "cannot set up the forwarding rules\n";
         return 4;
     }
--- a/Tests/StandIns/WorkerStandIn.cpp
+++ b/Tests/StandIns/WorkerStandIn.cpp
@@ -26,7 +26,7 @@
 using nlohmann::json;
 namespace http = Http::http;
 
-constexpr Milliseconds cancellationStep{20};
+constexpr Milliseconds cancellationCheckInterval{20};
 
 struct Faults
 {
@@ -34,15 +34,15 @@
     bool isTruncating_ = false;
     bool claimsIdle_ = false;
     bool isDraining_ = false;
-    bool isMute_ = false;
+    bool isUnresponsive_ = false;
     double slowness_ = 1;
-    Milliseconds late_{0};
+    Milliseconds answerDelay_{0};
 };
 
-class Worker
+class SimulatedTarget
 {
 public:
-    Worker()
+    SimulatedTarget()
         : random_(FLAGS_seed)
         , incarnation_(std::chrono::system_clock::now().time_since_epoch().count())
     {
@@ -53,7 +53,7 @@
         const std::string target(request.message_.target());
         if (target.starts_with("/standin/"))
             co_return control(target, request.message_.body());
-        if (faults_.isMute_) {
+        if (faults_.isUnresponsive_) {
             co_await Http::sleepFor(Milliseconds(600000));
         }
         Http::Response answer = StandIns::jsonAnswer(json::object());
@@ -76,7 +76,7 @@
         ++executions_[token];
         ++started_;
         ++inFlight_;
-        mostInFlight_ = std::max(mostInFlight_, inFlight_);
+        maxInFlight_ = std::max(maxInFlight_, inFlight_);
         if (!FLAGS_end_under.empty() && target.find(FLAGS_end_under) != std::string::npos) {
             co_await Http::sleepFor(Milliseconds(FLAGS_end_after_ms));
             _exit(EXIT_FAILURE);
@@ -88,8 +88,8 @@
         const bool isDone = co_await workUntil(until, now + left, request);
         --inFlight_;
         ++finished_;
-        if (faults_.late_ > Milliseconds(0)) {
-            co_await Http::sleepFor(faults_.late_);
+        if (faults_.answerDelay_ > Milliseconds(0)) {
+            co_await Http::sleepFor(faults_.answerDelay_);
         }
         if (!isDone)
             co_return deadlineAnswer();
@@ -120,7 +120,7 @@
                 ++cancelled_;
                 co_return false;
             }
-            const Model::SteadyTime step = now + cancellationStep;
+            const Model::SteadyTime step = now + cancellationCheckInterval;
             const Model::SteadyTime next = std::min(std::min(until, deadline), step);
             co_await Http::sleepUntil(next);
         }
@@ -138,12 +138,12 @@
         return Model::Microseconds(static_cast<long long>(milliseconds * 1000));
     }
 
-    Http::Response refused(const char *why)
+    Http::Response refused(const char *reason)
     {
         ++refused_;
         Http::Response answer
-            = StandIns::jsonAnswer({{"error", why}}, http::status::service_unavailable);
-        answer.set(Http::notStartedHeader.data(), why);
+            = StandIns::jsonAnswer({{"error", reason}}, http::status::service_unavailable);
+        answer.set(Http::notStartedHeader.data(), reason);
         return answer;
     }
 
@@ -179,7 +179,7 @@
                                      {"refused", refused_},
                                      {"cancelled", cancelled_},
                                      {"in_flight", inFlight_},
-                                     {"most_in_flight", mostInFlight_}});
+                                     {"most_in_flight", maxInFlight_}});
     }
 
     void change(const json &wanted)
@@ -188,9 +188,9 @@
         faults_.isTruncating_ = wanted.value("truncate", faults_.isTruncating_);
         faults_.claimsIdle_ = wanted.value("claim_idle", faults_.claimsIdle_);
         faults_.isDraining_ = wanted.value("drain", faults_.isDraining_);
-        faults_.isMute_ = wanted.value("mute", faults_.isMute_);
+        faults_.isUnresponsive_ = wanted.value("mute", faults_.isUnresponsive_);
         faults_.slowness_ = wanted.value("slowness", faults_.slowness_);
-        faults_.late_ = Milliseconds(wanted.value("late_ms", faults_.late_.count()));
+        faults_.answerDelay_ = Milliseconds(wanted.value("late_ms", faults_.answerDelay_.count()));
     }
 
     std::mt19937_64 random_;
@@ -204,7 +204,7 @@
     int refused_ = 0;
     int cancelled_ = 0;
     int inFlight_ = 0;
-    int mostInFlight_ = 0;
+    int maxInFlight_ = 0;
 };
 
 } // namespace
@@ -214,8 +214,8 @@
     gflags::SetUsageMessage("A stand-in for a target, for tests.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     Http::asio::io_context context(1);
-    Worker worker;
+    SimulatedTarget simulatedTarget;
     return StandIns::serveUntilStopped(context, FLAGS_address, [&](Http::IncomingRequest request) {
-        return worker.answer(std::move(request));
+        return simulatedTarget.answer(std::move(request));
     });
 }
--- a/Utilities/Loadtool/Load.cpp
+++ b/Utilities/Loadtool/Load.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr Milliseconds lookupTimeout{500};
-constexpr Milliseconds repeatPause{50};
+constexpr Milliseconds retryDelay{50};
 /// Upper bound of the exponential delay between rounds over unreachable entries.
-constexpr Milliseconds longestPause{800};
-constexpr std::size_t connectionsOfStream = 4096;
+constexpr Milliseconds maxRoundDelay{800};
+constexpr std::size_t maxConnections = 4096;
 
 Model::SteadyTime steadyNow()
 {
@@ -32,12 +32,12 @@
     return std::string(answer[Http::beast::string_view(name.data(), name.size())]);
 }
 
-Told toldBy(const Http::Response &answer)
+Outcome outcomeOf(const Http::Response &answer)
 {
     const std::string outcome = headerOf(answer, Http::outcomeHeader);
     if (outcome == "run")
-        return Told::Run;
-    return outcome == "not-run" ? Told::NotRun : Told::Unknown;
+        return Outcome::Run;
+    return outcome == "not-run" ? Outcome::NotRun : Outcome::Unknown;
 }
 
 } // namespace
@@ -53,7 +53,7 @@
     std::string name_;
     Http::ConnectionPool pool_;
     std::vector<Model::Address> entries_;
-    Model::SteadyTime entriesUntil_;
+    Model::SteadyTime entriesExpireAt_;
 };
 
 Load::Load(LoadOptions options)
@@ -67,7 +67,7 @@
     startedAt_ = steadyNow();
     inProgress_ = options_.streams_.size();
     for (std::size_t i = 0; i < options_.streams_.size(); ++i)
-        Http::asio::co_spawn(context_, playStream(i), Http::asio::detached);
+        Http::asio::co_spawn(context_, runStream(i), Http::asio::detached);
     Http::asio::co_spawn(context_, reportProgress(progress), Http::asio::detached);
     context_.run();
     return std::move(samples_);
@@ -82,7 +82,7 @@
     }
 }
 
-Task<void> Load::playStream(std::size_t stream)
+Task<void> Load::runStream(std::size_t stream)
 {
     const Stream &what = options_.streams_[stream];
     std::vector<std::shared_ptr<Caller>> callers;
@@ -101,20 +101,20 @@
         co_await Http::sleepUntil(planned);
         const auto &caller = callers[random() % callers.size()];
         ++inProgress_;
-        Http::asio::co_spawn(context_, playRequest(stream, caller, planned), Http::asio::detached);
+        Http::asio::co_spawn(context_, runRequest(stream, caller, planned), Http::asio::detached);
     }
     --inProgress_;
 }
 
-Task<void> Load::playRequest(std::size_t stream, std::shared_ptr<Caller> caller,
-                             Model::SteadyTime planned)
+Task<void> Load::runRequest(std::size_t stream, std::shared_ptr<Caller> caller,
+                            Model::SteadyTime planned)
 {
     const Stream &what = options_.streams_[stream];
     Sample sample;
     sample.stream_ = stream;
     sample.token_ = std::to_string(options_.seed_) + "-" + std::to_string(++lastToken_);
     sample.sentAt_ = microseconds(planned - startedAt_);
-    sample.lateBy_ = microseconds(steadyNow() - planned);
+    sample.sendDelay_ = microseconds(steadyNow() - planned);
     const Model::SteadyTime deadline = planned + what.timeout_ + Milliseconds(500);
     co_await sendThroughEntries(what, *caller, sample, deadline);
     sample.latency_ = microseconds(steadyNow() - planned);
@@ -125,15 +125,15 @@
 Task<void> Load::sendThroughEntries(const Stream &stream, Caller &caller, Sample &sample,
                                     Model::SteadyTime deadline)
 {
-    int repeatsLeft = stream.repeats_;
-    Milliseconds unreachablePause = repeatPause;
+    int retriesLeft = stream.maxRetries_;
+    Milliseconds roundDelay = retryDelay;
     std::size_t position = 0;
     while (steadyNow() < deadline) {
-        if (steadyNow() >= caller.entriesUntil_) {
+        if (steadyNow() >= caller.entriesExpireAt_) {
             co_await refreshEntries(stream, caller);
         }
         if (caller.entries_.empty()) {
-            co_await Http::sleepFor(repeatPause);
+            co_await Http::sleepFor(retryDelay);
             continue;
         }
         const Model::Address entry = caller.entries_[position % caller.entries_.size()];
@@ -142,20 +142,21 @@
         // An unreachable entry only leads to an attempt at the next one; it uses up no retry.
         if (!wasSent) {
             if (position % caller.entries_.size() == 0) {
-                caller.entriesUntil_ = steadyNow();
+                caller.entriesExpireAt_ = steadyNow();
                 // Without this delay, callers of a failed region consume the load tool's processor
                 // time, and the callers of other regions measure too high latencies.
-                co_await Http::sleepFor(unreachablePause);
-                unreachablePause = std::min(2 * unreachablePause, longestPause);
+                co_await Http::sleepFor(roundDelay);
+                roundDelay = std::min(2 * roundDelay, maxRoundDelay);
             }
             continue;
         }
-        const bool isOpen = sample.told_ == Told::Unknown || sample.told_ == Told::Nothing;
-        const bool mayRepeat = stream.hasKey_ || !stream.isPost_;
-        if (!isOpen || !mayRepeat || repeatsLeft == 0)
+        const bool isUnresolved
+            = sample.outcome_ == Outcome::Unknown || sample.outcome_ == Outcome::NoAnswer;
+        const bool mayRetry = stream.hasKey_ || !stream.isPost_;
+        if (!isUnresolved || !mayRetry || retriesLeft == 0)
             co_return;
-        --repeatsLeft;
-        co_await Http::sleepFor(repeatPause);
+        --retriesLeft;
+        co_await Http::sleepFor(retryDelay);
     }
 }
 
@@ -164,7 +165,7 @@
     if (!options_.direct_.empty()) {
         caller.entries_ = options_.direct_;
         std::shuffle(caller.entries_.begin(), caller.entries_.end(), random_);
-        caller.entriesUntil_ = steadyNow();
+        caller.entriesExpireAt_ = steadyNow();
         co_return;
     }
     const std::size_t first = random_() % options_.lookups_.size();
@@ -193,7 +194,7 @@
         if (entries.empty())
             continue;
         caller.entries_ = std::move(entries);
-        caller.entriesUntil_ = steadyNow() + Milliseconds(answer.value("ttl_ms", 1000));
+        caller.entriesExpireAt_ = steadyNow() + Milliseconds(answer.value("ttl_ms", 1000));
         co_return;
     }
 }
@@ -224,7 +225,7 @@
     Http::ExchangeOptions exchange;
     exchange.address_ = entry;
     exchange.deadline_ = deadline;
-    exchange.connectionLimit_ = connectionsOfStream;
+    exchange.connectionLimit_ = maxConnections;
     exchange.sourceHost_ = stream.source_;
     if (stream.delay_ > Milliseconds(0)) {
         co_await Http::sleepFor(stream.delay_);
@@ -238,21 +239,21 @@
     }
 
     ++sample.sends_;
-    sample.told_ = Told::Nothing;
+    sample.outcome_ = Outcome::NoAnswer;
     sample.entry_ = Model::toText(entry);
     if (!result.answer_)
         co_return true;
-    sample.told_ = options_.direct_.empty() ? toldBy(*result.answer_) : Told::Run;
+    sample.outcome_ = options_.direct_.empty() ? outcomeOf(*result.answer_) : Outcome::Run;
     const std::string code = headerOf(*result.answer_, Http::codeHeader);
     sample.code_ = code.empty() ? 0 : std::atoi(code.c_str());
     sample.target_ = headerOf(*result.answer_, Http::targetHeader);
-    if (sample.told_ != Told::Run)
+    if (sample.outcome_ != Outcome::Run)
         co_return true;
     const auto body = nlohmann::json::parse(result.answer_->body(), nullptr, false);
-    const bool isOwn = body.is_object() && body.value("token", "") == sample.token_;
+    const bool hasOwnToken = body.is_object() && body.value("token", "") == sample.token_;
     // A target that stops at the deadline answers without the token; this is still a valid answer.
-    const bool isGivenUp = result.answer_->result() == Http::http::status::gateway_timeout;
-    sample.isWrong_ = !isOwn && !isGivenUp;
+    const bool isDeadlineAnswer = result.answer_->result() == Http::http::status::gateway_timeout;
+    sample.isWrong_ = !hasOwnToken && !isDeadlineAnswer;
     co_return true;
 }
 
--- a/Utilities/Loadtool/Load.h
+++ b/Utilities/Loadtool/Load.h
@@ -38,9 +38,9 @@
 private:
     struct Caller;
 
-    Http::Task<void> playStream(std::size_t stream);
-    Http::Task<void> playRequest(std::size_t stream, std::shared_ptr<Caller> caller,
-                                 Model::SteadyTime planned);
+    Http::Task<void> runStream(std::size_t stream);
+    Http::Task<void> runRequest(std::size_t stream, std::shared_ptr<Caller> caller,
+                                Model::SteadyTime planned);
     Http::Task<void> sendThroughEntries(const Stream &stream, Caller &caller, Sample &sample,
                                         Model::SteadyTime deadline);
     Http::Task<void> refreshEntries(const Stream &stream, Caller &caller);
--- a/Utilities/Loadtool/Profile.cpp
+++ b/Utilities/Loadtool/Profile.cpp
@@ -24,7 +24,7 @@
 using Setter = std::function<bool(Stream &, const std::string &)>;
 
 template <typename Apply>
-Setter number(Apply apply)
+Setter numberSetter(Apply apply)
 {
     return [apply](Stream &stream, const std::string &text) {
         double value = 0;
@@ -36,7 +36,7 @@
 }
 
 template <typename Apply>
-Setter yesOrNo(Apply apply)
+Setter booleanSetter(Apply apply)
 {
     return [apply](Stream &stream, const std::string &text) {
         apply(stream, text == "yes");
@@ -45,7 +45,7 @@
 }
 
 template <typename Apply>
-Setter word(Apply apply)
+Setter textSetter(Apply apply)
 {
     return [apply](Stream &stream, const std::string &text) {
         apply(stream, text);
@@ -61,46 +61,46 @@
 const std::map<std::string, Setter> &setters()
 {
     static const std::map<std::string, Setter> table = {
-        {"service", word([](auto &s, auto &v) {
+        {"service", textSetter([](auto &s, auto &v) {
              s.service_ = Model::ServiceId(v);
          })},
-        {"caller", word([](auto &s, auto &v) {
+        {"caller", textSetter([](auto &s, auto &v) {
              s.callerPrefix_ = v;
          })},
-        {"callers", number([](auto &s, double v) {
+        {"callers", numberSetter([](auto &s, double v) {
              s.callers_ = std::max(1, int(v));
          })},
-        {"rate", number([](auto &s, double v) {
+        {"rate", numberSetter([](auto &s, double v) {
              s.rate_ = Model::RequestsPerSecond(v);
          })},
-        {"post", yesOrNo([](auto &s, bool v) {
+        {"post", booleanSetter([](auto &s, bool v) {
              s.isPost_ = v;
          })},
-        {"key", yesOrNo([](auto &s, bool v) {
+        {"key", booleanSetter([](auto &s, bool v) {
              s.hasKey_ = v;
          })},
-        {"repeats", number([](auto &s, double v) {
-             s.repeats_ = int(v);
+        {"repeats", numberSetter([](auto &s, double v) {
+             s.maxRetries_ = int(v);
          })},
-        {"origin", word([](auto &s, auto &v) {
+        {"origin", textSetter([](auto &s, auto &v) {
              s.origin_ = Model::RegionId(v);
          })},
-        {"source", word([](auto &s, auto &v) {
+        {"source", textSetter([](auto &s, auto &v) {
              s.source_ = v;
          })},
-        {"timeout_ms", number([](auto &s, double v) {
+        {"timeout_ms", numberSetter([](auto &s, double v) {
              s.timeout_ = milliseconds(v);
          })},
-        {"body_bytes", number([](auto &s, double v) {
+        {"body_bytes", numberSetter([](auto &s, double v) {
              s.bodyBytes_ = std::size_t(v);
          })},
-        {"from_ms", number([](auto &s, double v) {
+        {"from_ms", numberSetter([](auto &s, double v) {
              s.from_ = milliseconds(v);
          })},
-        {"until_ms", number([](auto &s, double v) {
+        {"until_ms", numberSetter([](auto &s, double v) {
              s.until_ = milliseconds(v);
          })},
-        {"delay_ms", number([](auto &s, double v) {
+        {"delay_ms", numberSetter([](auto &s, double v) {
              s.delay_ = milliseconds(v);
          })},
     };
--- a/Utilities/Loadtool/Profile.h
+++ b/Utilities/Loadtool/Profile.h
@@ -20,7 +20,7 @@
     bool isPost_ = false;
     bool hasKey_ = false;
     /// Maximum retries, with the same key, after an unknown outcome.
-    int repeats_ = 0;
+    int maxRetries_ = 0;
     Model::RegionId origin_;
     /// Source IP address of the callers; if empty, the kernel chooses it.
     std::string source_;
--- a/Utilities/Loadtool/Report.cpp
+++ b/Utilities/Loadtool/Report.cpp
@@ -6,24 +6,24 @@
 
 namespace {
 
-Model::Microseconds percentile(const std::vector<Model::Microseconds> &sorted, double part)
+Model::Microseconds percentile(const std::vector<Model::Microseconds> &sorted, double fraction)
 {
     if (sorted.empty())
         return Model::Microseconds(0);
     const auto last = static_cast<double>(sorted.size() - 1);
-    return sorted[static_cast<std::size_t>(last * part + 0.5)];
+    return sorted[static_cast<std::size_t>(last * fraction + 0.5)];
 }
 
-const char *toText(Told told)
+const char *toText(Outcome outcome)
 {
-    switch (told) {
-    case Told::Run:
+    switch (outcome) {
+    case Outcome::Run:
         return "run";
-    case Told::NotRun:
+    case Outcome::NotRun:
         return "not-run";
-    case Told::Unknown:
+    case Outcome::Unknown:
         return "unknown";
-    case Told::Nothing:
+    case Outcome::NoAnswer:
         break;
     }
     return "nothing";
@@ -40,11 +40,11 @@
             continue;
         ++figures.requests_;
         figures.wrong_ += sample.isWrong_ ? 1 : 0;
-        figures.answered_ += sample.told_ == Told::Run ? 1 : 0;
-        figures.notRun_ += sample.told_ == Told::NotRun ? 1 : 0;
-        figures.unknown_ += sample.told_ == Told::Unknown ? 1 : 0;
-        figures.noAnswer_ += sample.told_ == Told::Nothing ? 1 : 0;
-        if (sample.told_ == Told::Run)
+        figures.answered_ += sample.outcome_ == Outcome::Run ? 1 : 0;
+        figures.notRun_ += sample.outcome_ == Outcome::NotRun ? 1 : 0;
+        figures.unknown_ += sample.outcome_ == Outcome::Unknown ? 1 : 0;
+        figures.noAnswer_ += sample.outcome_ == Outcome::NoAnswer ? 1 : 0;
+        if (sample.outcome_ == Outcome::Run)
             latencies.push_back(sample.latency_);
     }
     std::sort(latencies.begin(), latencies.end());
@@ -54,21 +54,22 @@
     return figures;
 }
 
-Judgement judge(const std::vector<Sample> &samples, const std::vector<Stream> &streams,
-                const std::map<std::string, int> &executions)
+ExecutionMismatches compareWithExecutions(const std::vector<Sample> &samples,
+                                          const std::vector<Stream> &streams,
+                                          const std::map<std::string, int> &executions)
 {
-    Judgement judgement;
+    ExecutionMismatches mismatches;
     for (const auto &sample : samples) {
         const auto found = executions.find(sample.token_);
         const int runs = found == executions.end() ? 0 : found->second;
         if (streams[sample.stream_].isPost_ && runs > 1)
-            ++judgement.duplicated_;
-        if (sample.told_ == Told::NotRun && runs > 0)
-            ++judgement.notRunButRun_;
-        if (sample.told_ == Told::Run && runs == 0)
-            ++judgement.answeredButNotRun_;
+            ++mismatches.duplicated_;
+        if (sample.outcome_ == Outcome::NotRun && runs > 0)
+            ++mismatches.notRunButExecuted_;
+        if (sample.outcome_ == Outcome::Run && runs == 0)
+            ++mismatches.answeredButNotExecuted_;
     }
-    return judgement;
+    return mismatches;
 }
 
 std::string samplesText(const std::vector<Sample> &samples, const std::vector<Stream> &streams)
@@ -77,10 +78,10 @@
     for (const auto &sample : samples) {
         text += streams[sample.stream_].name_ + "," + sample.token_ + ","
                 + std::to_string(sample.sentAt_.count()) + ","
-                + std::to_string(sample.latency_.count()) + "," + toText(sample.told_) + ","
+                + std::to_string(sample.latency_.count()) + "," + toText(sample.outcome_) + ","
                 + std::to_string(sample.code_) + "," + std::to_string(sample.sends_) + ","
                 + sample.target_ + "," + sample.entry_ + ","
-                + std::to_string(sample.lateBy_.count()) + "\n";
+                + std::to_string(sample.sendDelay_.count()) + "\n";
     }
     return text;
 }
--- a/Utilities/Loadtool/Report.h
+++ b/Utilities/Loadtool/Report.h
@@ -10,7 +10,7 @@
 namespace Loadtool {
 
 /// The outcome of a request as its caller sees it.
-enum class Told { Run, NotRun, Unknown, Nothing };
+enum class Outcome { Run, NotRun, Unknown, NoAnswer };
 
 /// One request from its planned start to its final answer.
 struct Sample
@@ -21,8 +21,8 @@
     Model::Microseconds sentAt_{0};
     Model::Microseconds latency_{0};
     /// Part of the latency that passed before the load tool sent the request.
-    Model::Microseconds lateBy_{0};
-    Told told_ = Told::Nothing;
+    Model::Microseconds sendDelay_{0};
+    Outcome outcome_ = Outcome::NoAnswer;
     int code_ = 0;
     bool isWrong_ = false;
     int sends_ = 0;
@@ -49,20 +49,21 @@
 Figures figuresOf(const std::vector<Sample> &samples, int stream);
 
 /// Contradictions between the targets' execution counts and the outcomes that callers got.
-struct Judgement
+struct ExecutionMismatches
 {
     /// Requests that must run at most once and ran more than once.
     std::size_t duplicated_ = 0;
     /// Requests with the outcome "not run" that ran.
-    std::size_t notRunButRun_ = 0;
+    std::size_t notRunButExecuted_ = 0;
     /// Requests that were answered although no target ran them.
-    std::size_t answeredButNotRun_ = 0;
+    std::size_t answeredButNotExecuted_ = 0;
 };
 
 /// Compares \a samples with the targets' \a executions, matched by token. Thread safety: any
 /// thread.
-Judgement judge(const std::vector<Sample> &samples, const std::vector<Stream> &streams,
-                const std::map<std::string, int> &executions);
+ExecutionMismatches compareWithExecutions(const std::vector<Sample> &samples,
+                                          const std::vector<Stream> &streams,
+                                          const std::map<std::string, int> &executions);
 
 /// Returns the samples as comma-separated values with a header line. Thread safety: any thread.
 std::string samplesText(const std::vector<Sample> &samples, const std::vector<Stream> &streams);
--- a/Utilities/Loadtool/main.cpp
+++ b/Utilities/Loadtool/main.cpp
@@ -122,10 +122,11 @@
         printFigures(options->streams_[i].name_, Loadtool::figuresOf(samples, static_cast<int>(i)));
     const Figures all = Loadtool::figuresOf(samples, -1);
     printFigures("all", all);
-    const auto judgement = Loadtool::judge(samples, options->streams_, executionsOf(*targets));
-    std::cout << "judged duplicated=" << judgement.duplicated_
-              << " not_run_but_run=" << judgement.notRunButRun_
-              << " answered_but_not_run=" << judgement.answeredButNotRun_ << "\n";
+    const auto mismatches
+        = Loadtool::compareWithExecutions(samples, options->streams_, executionsOf(*targets));
+    std::cout << "judged duplicated=" << mismatches.duplicated_
+              << " not_run_but_run=" << mismatches.notRunButExecuted_
+              << " answered_but_not_run=" << mismatches.answeredButNotExecuted_ << "\n";
     if (!FLAGS_samples.empty())
         std::ofstream(FLAGS_samples) << Loadtool::samplesText(samples, options->streams_);
     return 0;
--- a/Utilities/Tablectl/Commands.cpp
+++ b/Utilities/Tablectl/Commands.cpp
@@ -48,7 +48,7 @@
 }
 
 /// Prints every invalid cell, not only the first. Returns whether all cells are valid.
-bool printMistakes(const std::vector<Model::Row> &rows)
+bool printErrors(const std::vector<Model::Row> &rows)
 {
     const auto errors = Model::Table::check(rows);
     for (const auto &error : errors)
@@ -143,7 +143,7 @@
     const auto after = Platform::rowsAfter(*mirror, edit);
     if (!after)
         return fail();
-    if (!printMistakes(*after))
+    if (!printErrors(*after))
         return ExitCode::Failed;
     return commitAndPrint(options, edit);
 }
@@ -167,7 +167,7 @@
     const auto rows = rowsFromFile(options.arguments_[1]);
     if (!rows)
         return fail();
-    if (!printMistakes(*rows))
+    if (!printErrors(*rows))
         return ExitCode::Failed;
     std::cout << rows->size() << " rows are good\n";
     return ExitCode::Ok;
@@ -180,7 +180,7 @@
     const auto rows = rowsFromFile(options.arguments_[1]);
     if (!rows)
         return fail();
-    if (!printMistakes(*rows))
+    if (!printErrors(*rows))
         return ExitCode::Failed;
     const auto mirror = readTable(options);
     if (!mirror)
@@ -218,8 +218,8 @@
     const auto mirror = readTable(options);
     if (!mirror)
         return fail();
-    const auto held = mirror->rows_.find(row.row_);
-    if (held == mirror->rows_.end() || held->second.deleted_) {
+    const auto storedRow = mirror->rows_.find(row.row_);
+    if (storedRow == mirror->rows_.end() || storedRow->second.deleted_) {
         Model::fail(ResultCode::UnknownRow, "row '" + toText(row.row_) + "'");
         return fail();
     }
@@ -266,16 +266,17 @@
     const auto instances = readInstances(options);
     if (!instances)
         return fail();
-    std::cout << nowText(*instances, Model::ServiceId(options.arguments_[1]),
-                         Model::CallerId(options.arguments_[2]), Model::RegionId(options.origin_));
+    std::cout << liveRouteText(*instances, Model::ServiceId(options.arguments_[1]),
+                               Model::CallerId(options.arguments_[2]),
+                               Model::RegionId(options.origin_));
     return ExitCode::Ok;
 }
 
 /// Requests instances by address: while the store is down, neither the list of instances nor the
 /// table can be read.
-ExitCode statusOfAsked(const Options &options)
+ExitCode statusOfAddresses(const Options &options)
 {
-    std::istringstream list(options.ask_);
+    std::istringstream list(options.adminAddresses_);
     for (std::string text; std::getline(list, text, ',');) {
         const auto address = Model::addressFromText(text);
         if (!address)
@@ -283,15 +284,15 @@
         Model::Instance instance;
         instance.id_ = Model::InstanceId(text);
         instance.addresses_.controlAdmin_ = *address;
-        std::cout << instanceText(instance, Model::TableVersion(0));
+        std::cout << instanceStatusText(instance, Model::TableVersion(0));
     }
     return ExitCode::Ok;
 }
 
 ExitCode status(const Options &options)
 {
-    if (!options.ask_.empty())
-        return statusOfAsked(options);
+    if (!options.adminAddresses_.empty())
+        return statusOfAddresses(options);
     const auto mirror = readTable(options);
     const auto instances = mirror ? readInstances(options) : std::nullopt;
     const auto table = mirror ? Platform::buildTable(*mirror) : std::nullopt;
@@ -299,7 +300,7 @@
         return fail();
     std::cout << "table version " << mirror->version_.value() << " in the store\n";
     for (const auto &instance : *instances)
-        std::cout << instanceText(instance, mirror->version_);
+        std::cout << instanceStatusText(instance, mirror->version_);
     const std::string drains = drainsText(*table, wallNow());
     std::cout << (drains.empty() ? "no drains\n" : drains);
     return ExitCode::Ok;
@@ -332,7 +333,7 @@
     {"explain", "explain SERVICE CALLER --origin REGION [--at TIME]  why traffic goes where",
      explainCommand},
     {"quarantines", "quarantines --ask ADDRESSES  list the quarantined requests", listQuarantines},
-    {"lift", "lift PRINT --ask ADDRESSES  release a request from quarantine", liftQuarantine},
+    {"lift", "lift PRINT --ask ADDRESSES  release a request from quarantine", releaseQuarantine},
     {"status", "status [--ask ADDRESSES]    table versions in use, and drains", status},
 };
 
--- a/Utilities/Tablectl/Commands.h
+++ b/Utilities/Tablectl/Commands.h
@@ -24,7 +24,7 @@
     std::string at_;
     /// For status, quarantines and lift: comma-separated addresses, requested instead of the
     /// platform's list.
-    std::string ask_;
+    std::string adminAddresses_;
 };
 
 /// Runs the command named by the first argument and returns the exit code. Output goes to standard
--- a/Utilities/Tablectl/Explain.cpp
+++ b/Utilities/Tablectl/Explain.cpp
@@ -77,9 +77,9 @@
                 + "; weight " + std::to_string(static_cast<int>(domain.weight_.value())) + ", "
                 + std::to_string(slots) + " slots" + drainText(domain, at) + "\n";
     }
-    const auto left = Policy::timeToGoal(table, service, origin, at);
-    if (left > Model::Milliseconds(0)) {
-        text += "moving: goal reached in " + secondsText(left) + "; cap "
+    const auto remaining = Policy::timeToGoal(table, service, origin, at);
+    if (remaining > Model::Milliseconds(0)) {
+        text += "moving: goal reached in " + secondsText(remaining) + "; cap "
                 + percentText(row->shiftCap_.value()) + " a second between failure domains, "
                 + percentText(row->regionShiftCap_.value()) + " between regions\n";
     } else {
@@ -100,14 +100,14 @@
             continue;
         for (const auto &service : table.services()) {
             const auto shares = Policy::plannedShares(table, service.id_, domain.region_, now);
-            const auto left = Policy::timeToGoal(table, service.id_, domain.region_, now);
+            const auto remaining = Policy::timeToGoal(table, service.id_, domain.region_, now);
             text += "drain " + domain.id_.value() + " of " + service.id_.value() + ": "
                     + percentText(shares.shares_[i]) + " of " + domain.region_.value()
                     + "'s traffic left";
             if (now < *domain.drainStart_) {
                 text += ", begins at " + Model::toText(*domain.drainStart_);
-            } else if (left > Model::Milliseconds(0)) {
-                text += ", done in " + secondsText(left);
+            } else if (remaining > Model::Milliseconds(0)) {
+                text += ", done in " + secondsText(remaining);
             } else {
                 text += ", done";
             }
--- a/Utilities/Tablectl/LiveState.cpp
+++ b/Utilities/Tablectl/LiveState.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr Model::Milliseconds patience{1000};
+constexpr Model::Milliseconds requestTimeout{1000};
 
 std::optional<json> getJson(const Model::Address &address, const std::string &target)
 {
     Http::SimpleRequest request;
     request.address_ = address;
     request.target_ = target;
-    request.timeout_ = patience;
+    request.timeout_ = requestTimeout;
     const auto answer = Http::sendAndWait(request);
     if (!answer)
         return std::nullopt;
@@ -32,7 +32,7 @@
     return status.value(name, json::array());
 }
 
-std::string outText(const json &status)
+std::string unavailableText(const json &status)
 {
     std::string text;
     for (const auto &region : listIn(status, "regions")) {
@@ -46,7 +46,7 @@
     return text;
 }
 
-std::string deadText(const json &status)
+std::string failedMembersText(const json &status)
 {
     std::string text;
     for (const auto &member : listIn(status, "members")) {
@@ -74,7 +74,7 @@
 
 } // namespace
 
-std::string instanceText(const Model::Instance &instance, Model::TableVersion inStore)
+std::string instanceStatusText(const Model::Instance &instance, Model::TableVersion storeVersion)
 {
     const auto answer = getJson(instance.addresses_.controlAdmin_, "/status");
     if (!answer)
@@ -89,15 +89,16 @@
     text += ", versions control " + std::to_string(status.value("control_version", 0)) + " entry "
             + std::to_string(entryVersion) + " lookup "
             + std::to_string(status.value("lookup_version", 0));
-    text += entryVersion < inStore.value() ? " STALE\n" : "\n";
-    text += deadText(status) + outText(status);
+    text += entryVersion < storeVersion.value() ? " STALE\n" : "\n";
+    text += failedMembersText(status) + unavailableText(status);
     for (const auto &moving : listIn(status, "moving"))
         text += shareText(moving);
     return text;
 }
 
-std::string nowText(const std::vector<Model::Instance> &instances, const Model::ServiceId &service,
-                    const Model::CallerId &caller, const Model::RegionId &origin)
+std::string liveRouteText(const std::vector<Model::Instance> &instances,
+                          const Model::ServiceId &service, const Model::CallerId &caller,
+                          const Model::RegionId &origin)
 {
     for (const auto &instance : instances) {
         if (instance.region_ != origin)
@@ -111,7 +112,7 @@
         std::string text = "now, by " + instance.id_.value() + ":\n  entries, the first is used:";
         for (const auto &entry : listIn(*lookup, "entries"))
             text += " " + entry.value("id", "");
-        text += "\n  because " + lookup->value("reason", "") + "\n" + outText(*status);
+        text += "\n  because " + lookup->value("reason", "") + "\n" + unavailableText(*status);
         for (const auto &moving : listIn(*status, "moving")) {
             if (moving.value("service", "") == service.value()
                 && moving.value("origin", "") == origin.value())
--- a/Utilities/Tablectl/PlatformCalls.cpp
+++ b/Utilities/Tablectl/PlatformCalls.cpp
@@ -8,7 +8,7 @@
 
 /// Runs a coroutine to completion and returns its result; the last reason is kept.
 template <typename Result, typename Start>
-std::optional<Result> runToEnd(const Options &options, Start start)
+std::optional<Result> runToCompletion(const Options &options, Start start)
 {
     Http::asio::io_context context(1);
     Http::ConnectionPool pool(context);
@@ -44,7 +44,7 @@
 
 std::optional<Platform::TableMirror> readTable(const Options &options)
 {
-    return runToEnd<Platform::TableMirror>(options, [](Platform::Store &store) {
+    return runToCompletion<Platform::TableMirror>(options, [](Platform::Store &store) {
         return Platform::readTable(store);
     });
 }
@@ -55,21 +55,21 @@
     edit.operator_ = options.operator_;
     edit.at_ = wallNow();
     edit.base_ = options.base_;
-    return runToEnd<Model::TableVersion>(options, [&](Platform::Store &store) {
+    return runToCompletion<Model::TableVersion>(options, [&](Platform::Store &store) {
         return Platform::commitEdit(store, edit);
     });
 }
 
 std::optional<std::vector<Observe::AuditRecord>> readHistory(const Options &options)
 {
-    return runToEnd<std::vector<Observe::AuditRecord>>(options, [](Platform::Store &store) {
+    return runToCompletion<std::vector<Observe::AuditRecord>>(options, [](Platform::Store &store) {
         return Platform::readHistory(store);
     });
 }
 
 std::optional<std::vector<Model::Instance>> readInstances(const Options &options)
 {
-    return runToEnd<std::vector<Model::Instance>>(options, [](Platform::Store &store) {
+    return runToCompletion<std::vector<Model::Instance>>(options, [](Platform::Store &store) {
         return Platform::readInstances(store);
     });
 }
--- a/Utilities/Tablectl/Quarantines.cpp
+++ b/Utilities/Tablectl/Quarantines.cpp
@@ -40,8 +40,8 @@
     return addresses;
 }
 
-std::optional<Http::Response> call(const Model::Address &address, Http::http::verb method,
-                                   const std::string &target, const Options &options)
+std::optional<Http::Response> sendRequest(const Model::Address &address, Http::http::verb method,
+                                          const std::string &target, const Options &options)
 {
     Http::SimpleRequest request;
     request.address_ = address;
@@ -55,11 +55,11 @@
 
 ExitCode listQuarantines(const Options &options)
 {
-    const auto addresses = addressesIn(options.ask_);
+    const auto addresses = addressesIn(options.adminAddresses_);
     if (!addresses)
         return fail();
     for (const auto &address : *addresses) {
-        const auto answer = call(address, Http::http::verb::get, path, options);
+        const auto answer = sendRequest(address, Http::http::verb::get, path, options);
         const auto body
             = answer ? nlohmann::json::parse(answer->body(), nullptr, false) : nlohmann::json();
         if (!body.is_object() || !body.contains("quarantined")) {
@@ -77,23 +77,23 @@
     return ExitCode::Ok;
 }
 
-ExitCode liftQuarantine(const Options &options)
+ExitCode releaseQuarantine(const Options &options)
 {
-    const auto addresses = addressesIn(options.ask_);
-    const auto print
+    const auto addresses = addressesIn(options.adminAddresses_);
+    const auto fingerprint
         = Policy::printFromText(options.arguments_.size() > 1 ? options.arguments_[1] : "");
-    if (!addresses || !print)
+    if (!addresses || !fingerprint)
         return fail();
     for (const auto &address : *addresses) {
-        const auto answer
-            = call(address, Http::http::verb::delete_, path + ("/" + toText(*print)), options);
+        const auto answer = sendRequest(address, Http::http::verb::delete_,
+                                        path + ("/" + toText(*fingerprint)), options);
         if (!answer || answer->result() != status::ok)
             continue;
         std::cout << "lifted at " << toText(address) << "\n";
         return ExitCode::Ok;
     }
     Model::fail(ResultCode::UnknownRow,
-                "none of the --ask addresses has " + toText(*print) + " in quarantine");
+                "none of the --ask addresses has " + toText(*fingerprint) + " in quarantine");
     return fail();
 }
 
--- a/Utilities/Tablectl/Quarantines.h
+++ b/Utilities/Tablectl/Quarantines.h
@@ -10,6 +10,6 @@
 
 /// Releases the quarantine named by the second argument at the first of the given addresses that
 /// holds it; the instances propagate the release to each other. Thread safety: none.
-Observe::ExitCode liftQuarantine(const Options &options);
+Observe::ExitCode releaseQuarantine(const Options &options);
 
 } // namespace Tablectl
--- a/Utilities/Tablectl/main.cpp
+++ b/Utilities/Tablectl/main.cpp
@@ -39,14 +39,14 @@
     options.end_ = FLAGS_end;
     options.origin_ = FLAGS_origin;
     options.at_ = FLAGS_at;
-    options.ask_ = FLAGS_ask;
+    options.adminAddresses_ = FLAGS_ask;
     if (FLAGS_base > 0)
         options.base_ = Model::TableVersion(FLAGS_base);
     options.arguments_.assign(argv + 1, argv + argc);
     const std::string command = options.arguments_.empty() ? "" : options.arguments_.front();
-    const bool isOfAsked = (command == "status" && !options.ask_.empty())
-                           || command == "quarantines" || command == "lift";
-    const bool needsPlatform = command != "validate" && !isOfAsked;
+    const bool usesAdminAddresses = (command == "status" && !options.adminAddresses_.empty())
+                                    || command == "quarantines" || command == "lift";
+    const bool needsPlatform = command != "validate" && !usesAdminAddresses;
     const auto platform = Model::addressFromText(FLAGS_platform);
     if (needsPlatform && !platform) {
         std::cerr << "--platform IP:port is required; see --help\n";
