--- a/Tests/Harness/Site.cpp
+++ b/Tests/Harness/Site.cpp
@@ -19,9 +19,9 @@
 
 constexpr std::uint16_t platformPort = 9000;
 constexpr std::uint16_t proxyPort = 7900;
-constexpr Milliseconds startPatience{30000};
+constexpr Milliseconds startTimeout{30000};
 
-std::string ownDirectory()
+std::string executableDirectory()
 {
     return std::filesystem::read_symlink("/proc/self/exe").parent_path();
 }
@@ -35,7 +35,7 @@
     request.body_ = body.dump();
     request.timeout_ = Milliseconds(5000);
     if (!Http::sendAndWait(request))
-        throw std::runtime_error("no answer from " + toText(address) + target);
+        throw std::runtime_error("request failed: no answer from " + toText(address) + target);
 }
 
 } // namespace
@@ -65,11 +65,11 @@
     : options_(std::move(options))
 {
     if (options_.binaries_.empty())
-        options_.binaries_ = ownDirectory();
-    chooseNet();
+        options_.binaries_ = executableDirectory();
+    reserveNet();
     static int sites = 0;
     const std::string run = std::to_string(getpid()) + "-" + std::to_string(++sites);
-    directory_ = ownDirectory() + "/../runs/" + run;
+    directory_ = executableDirectory() + "/../runs/" + run;
     std::filesystem::remove_all(directory_);
     std::filesystem::create_directories(directory_);
     makeTargets();
@@ -90,9 +90,10 @@
 
 std::string Site::binary(const std::string &name) const
 {
-    // The stand-ins are always this version's; only the product's binaries may be another's.
-    const bool isOwn = std::isupper(static_cast<unsigned char>(name.front())) || name == "loadtool";
-    return (isOwn ? ownDirectory() : options_.binaries_) + "/" + name;
+    // Test binaries are always of this version; only the product's binaries can be of another one.
+    const bool isTestBinary
+        = std::isupper(static_cast<unsigned char>(name.front())) || name == "loadtool";
+    return (isTestBinary ? executableDirectory() : options_.binaries_) + "/" + name;
 }
 
 std::string Site::write(const std::string &name, const std::string &text) const
@@ -121,7 +122,7 @@
             return "127." + std::to_string(net_) + "." + std::to_string(number) + ".1";
         ++number;
     }
-    throw std::runtime_error("no region " + region);
+    throw std::runtime_error("unknown region " + region);
 }
 
 SiteInstance &Site::instance(const std::string &id)
@@ -130,7 +131,7 @@
         if (instance.row_.id_.value() == id)
             return instance;
     }
-    throw std::runtime_error("no instance " + id);
+    throw std::runtime_error("unknown instance " + id);
 }
 
 SiteTarget &Site::target(const std::string &id)
@@ -139,7 +140,7 @@
         if (target.row_.id_.value() == id)
             return target;
     }
-    throw std::runtime_error("no target " + id);
+    throw std::runtime_error("unknown target " + id);
 }
 
 void Site::start()
@@ -153,7 +154,7 @@
     for (auto &instance : instances_)
         startInstance(instance);
     for (auto &instance : instances_) {
-        if (!waitUntilServing(instance, startPatience)) {
+        if (!waitUntilServing(instance, startTimeout)) {
             throw std::runtime_error(instance.row_.id_.value() + " does not serve: "
                                      + instance.control_->log() + instance.entry_->log());
         }
@@ -176,33 +177,33 @@
     instance.entry_ = makeProcess(id + "-entryd", {binary("entryd"), settings});
 }
 
-bool Site::waitUntilServing(SiteInstance &instance, Milliseconds patience)
+bool Site::waitUntilServing(SiteInstance &instance, Milliseconds maxWait)
 {
     const Model::Address entryAdmin{instance.host_, 7006};
-    return waitUntil(patience, [&] {
+    return waitUntil(maxWait, [&] {
         const auto status = getJson(entryAdmin, "/status", Milliseconds(500));
         if (!status || !status->value("ready", false))
             return false;
         const std::string service = table_->services().front().id_.value();
         const auto lookup = getJson(instance.row_.addresses_.lookup_,
                                     "/v1/entry?service=" + service, Milliseconds(500));
-        // Until it has heard that an entry of its region serves, a look-up rightly names others.
+        // A look-up returns remote entries until it learns that an entry of its region serves.
         const json entries = lookup ? lookup->value("entries", json::array()) : json::array();
         return !entries.empty() && entries[0].at("region") == instance.row_.region_.value();
     });
 }
 
-bool Site::stopInstance(SiteInstance &instance, Milliseconds patience)
+bool Site::stopInstance(SiteInstance &instance, Milliseconds maxWait)
 {
     for (Process *process : instance.processes())
         process->signal(SIGTERM);
     bool isClean = true;
     for (Process *process : instance.processes())
-        isClean &= process->wait(patience) == std::optional<int>(0);
+        isClean &= process->wait(maxWait) == std::optional<int>(0);
     return isClean;
 }
 
-bool Site::replaceAllInstances(Milliseconds patience)
+bool Site::replaceAllInstances(Milliseconds maxWait)
 {
     bool isClean = true;
     for (const char *number : {"-1", "-2"}) {
@@ -217,17 +218,17 @@
         }
         for (auto *instance : group) {
             for (auto *process : instance->processes())
-                isClean = process->wait(patience) == 0 && isClean;
+                isClean = process->wait(maxWait) == 0 && isClean;
         }
         for (auto *instance : group)
             startInstance(*instance);
         for (auto *instance : group)
-            isClean = waitUntilServing(*instance, patience) && isClean;
+            isClean = waitUntilServing(*instance, maxWait) && isClean;
     }
     return isClean;
 }
 
-bool Site::stopAllInstances(Milliseconds patience)
+bool Site::stopAllInstances(Milliseconds maxWait)
 {
     for (auto &instance : instances_) {
         for (Process *process : instance.processes()) {
@@ -238,7 +239,7 @@
     bool isClean = true;
     for (auto &instance : instances_) {
         for (Process *process : instance.processes())
-            isClean &= !process || process->wait(patience) == std::optional<int>(0);
+            isClean &= !process || process->wait(maxWait) == std::optional<int>(0);
     }
     return isClean;
 }
@@ -322,7 +323,8 @@
 }
 
 std::unique_ptr<Process> Site::loadtool(const std::string &name, const std::string &profile,
-                                        int seconds, int seed, std::vector<std::string> more)
+                                        int seconds, int seed,
+                                        std::vector<std::string> extraArguments)
 {
     std::vector<std::string> command = {binary("loadtool"),
                                         "--profile=" + write(name + ".profile", profile),
@@ -331,7 +333,7 @@
                                         "--seconds=" + std::to_string(seconds),
                                         "--seed=" + std::to_string(seed),
                                         "--samples=" + samplesPath(name)};
-    command.insert(command.end(), more.begin(), more.end());
+    command.insert(command.end(), extraArguments.begin(), extraArguments.end());
     return makeProcess(name, std::move(command));
 }
 
--- a/Tests/StandIns/WorkerStandIn.cpp
+++ b/Tests/StandIns/WorkerStandIn.cpp
@@ -1,6 +1,6 @@
-// A small stand-in for a target: slots, load reports, cold start, draining, deadlines,
-// cancellation, and a count of executions for each request, which judges "at most once" and "not
-// run". docs/target-protocol.md describes the protocol.
+// A minimal fake of a target: slots, load reports, cold start, draining, deadlines, cancellation,
+// and an execution count per request, against which tests verify "at most once" and "not run".
+// docs/target-protocol.md describes the protocol.
 
 #include "StandInMain.h"
 
@@ -8,15 +8,17 @@
 #include <random>
 #include <unistd.h>
 
-DEFINE_string(address, "127.0.0.1:8000", "where to listen");
-DEFINE_int32(slots, 4, "requests worked on at the same time");
+DEFINE_string(address, "127.0.0.1:8000", "listen address");
+DEFINE_int32(slots, 4, "concurrent requests");
 DEFINE_double(mean_ms, 10, "mean service time");
-DEFINE_bool(exponential, true, "service times vary exponentially; else all are the mean");
-DEFINE_double(cold_factor, 1, "service times begin this much longer and shrink as work is done");
-DEFINE_int32(cold_requests, 50, "requests until the caches are warm");
+DEFINE_bool(exponential, true,
+            "draw service times from an exponential distribution; else all are the mean");
+DEFINE_double(cold_factor, 1,
+              "initial factor on service times, which decreases to 1 as requests run");
+DEFINE_int32(cold_requests, 50, "number of requests until the caches are warm");
 DEFINE_uint64(seed, 1, "seed of the service times");
-DEFINE_string(end_under, "", "ends when it has begun to run a request whose path holds this");
-DEFINE_int32(end_after_ms, 20, "how long after that");
+DEFINE_string(end_under, "", "crashes while it runs a request whose path contains this");
+DEFINE_int32(end_after_ms, 20, "delay of the crash after the start of the request");
 
 namespace {
 
@@ -24,7 +26,7 @@
 using nlohmann::json;
 namespace http = Http::http;
 
-constexpr Milliseconds cancellationStep{20};
+constexpr Milliseconds cancellationCheckInterval{20};
 
 struct Faults
 {
@@ -32,15 +34,15 @@
     bool isTruncating_ = false;
     bool claimsIdle_ = false;
     bool isDraining_ = false;
-    bool isMute_ = false;
+    bool isUnresponsive_ = false;
     double slowness_ = 1;
-    Milliseconds late_{0};
+    Milliseconds answerDelay_{0};
 };
 
-class Worker
+class SimulatedTarget
 {
 public:
-    Worker()
+    SimulatedTarget()
         : random_(FLAGS_seed)
         , incarnation_(std::chrono::system_clock::now().time_since_epoch().count())
     {
@@ -51,7 +53,7 @@
         const std::string target(request.message_.target());
         if (target.starts_with("/standin/"))
             co_return control(target, request.message_.body());
-        if (faults_.isMute_) {
+        if (faults_.isUnresponsive_) {
             co_await Http::sleepFor(Milliseconds(600000));
         }
         Http::Response answer = StandIns::jsonAnswer(json::object());
@@ -74,7 +76,7 @@
         ++executions_[token];
         ++started_;
         ++inFlight_;
-        mostInFlight_ = std::max(mostInFlight_, inFlight_);
+        maxInFlight_ = std::max(maxInFlight_, inFlight_);
         if (!FLAGS_end_under.empty() && target.find(FLAGS_end_under) != std::string::npos) {
             co_await Http::sleepFor(Milliseconds(FLAGS_end_after_ms));
             _exit(EXIT_FAILURE);
@@ -86,15 +88,15 @@
         const bool isDone = co_await workUntil(until, now + left, request);
         --inFlight_;
         ++finished_;
-        if (faults_.late_ > Milliseconds(0)) {
-            co_await Http::sleepFor(faults_.late_);
+        if (faults_.answerDelay_ > Milliseconds(0)) {
+            co_await Http::sleepFor(faults_.answerDelay_);
         }
         if (!isDone)
             co_return deadlineAnswer();
         co_return doneAnswer(token, request.message_.body().size());
     }
 
-    // GCC 12 cannot have these lists of initialisers inside a coroutine.
+    // Separate functions, because GCC 12 does not compile these initializer lists in a coroutine.
     static Http::Response deadlineAnswer()
     {
         return StandIns::jsonAnswer({{"error", "deadline"}}, http::status::gateway_timeout);
@@ -118,7 +120,7 @@
                 ++cancelled_;
                 co_return false;
             }
-            const Model::SteadyTime step = now + cancellationStep;
+            const Model::SteadyTime step = now + cancellationCheckInterval;
             const Model::SteadyTime next = std::min(std::min(until, deadline), step);
             co_await Http::sleepUntil(next);
         }
@@ -136,12 +138,12 @@
         return Model::Microseconds(static_cast<long long>(milliseconds * 1000));
     }
 
-    Http::Response refused(const char *why)
+    Http::Response refused(const char *reason)
     {
         ++refused_;
         Http::Response answer
-            = StandIns::jsonAnswer({{"error", why}}, http::status::service_unavailable);
-        answer.set(Http::notStartedHeader.data(), why);
+            = StandIns::jsonAnswer({{"error", reason}}, http::status::service_unavailable);
+        answer.set(Http::notStartedHeader.data(), reason);
         return answer;
     }
 
@@ -149,7 +151,7 @@
     {
         std::string id(request[Http::requestIdHeader.data()]);
         const bool isHealth = request.target().starts_with("/cassiacrank/");
-        // The answer of the request before, whole: with its id and its body.
+        // Sends the whole answer of the previous request: its id and its body.
         if (faults_.isForeign_ && !isHealth) {
             std::swap(id, lastId_);
             std::swap(answer.body(), lastBody_);
@@ -177,7 +179,7 @@
                                      {"refused", refused_},
                                      {"cancelled", cancelled_},
                                      {"in_flight", inFlight_},
-                                     {"most_in_flight", mostInFlight_}});
+                                     {"most_in_flight", maxInFlight_}});
     }
 
     void change(const json &wanted)
@@ -186,9 +188,9 @@
         faults_.isTruncating_ = wanted.value("truncate", faults_.isTruncating_);
         faults_.claimsIdle_ = wanted.value("claim_idle", faults_.claimsIdle_);
         faults_.isDraining_ = wanted.value("drain", faults_.isDraining_);
-        faults_.isMute_ = wanted.value("mute", faults_.isMute_);
+        faults_.isUnresponsive_ = wanted.value("mute", faults_.isUnresponsive_);
         faults_.slowness_ = wanted.value("slowness", faults_.slowness_);
-        faults_.late_ = Milliseconds(wanted.value("late_ms", faults_.late_.count()));
+        faults_.answerDelay_ = Milliseconds(wanted.value("late_ms", faults_.answerDelay_.count()));
     }
 
     std::mt19937_64 random_;
@@ -202,7 +204,7 @@
     int refused_ = 0;
     int cancelled_ = 0;
     int inFlight_ = 0;
-    int mostInFlight_ = 0;
+    int maxInFlight_ = 0;
 };
 
 } // namespace
@@ -212,8 +214,8 @@
     gflags::SetUsageMessage("A stand-in for a target, for tests.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     Http::asio::io_context context(1);
-    Worker worker;
+    SimulatedTarget simulatedTarget;
     return StandIns::serveUntilStopped(context, FLAGS_address, [&](Http::IncomingRequest request) {
-        return worker.answer(std::move(request));
+        return simulatedTarget.answer(std::move(request));
     });
 }
--- a/Utilities/Tablectl/Commands.cpp
+++ b/Utilities/Tablectl/Commands.cpp
@@ -47,8 +47,8 @@
     return Model::rowsFromText(text.str());
 }
 
-/// Prints every wrong cell, not only the first. Returns whether there is none.
-bool printMistakes(const std::vector<Model::Row> &rows)
+/// Prints every invalid cell, not only the first. Returns whether all cells are valid.
+bool printErrors(const std::vector<Model::Row> &rows)
 {
     const auto errors = Model::Table::check(rows);
     for (const auto &error : errors)
@@ -56,7 +56,7 @@
     return errors.empty();
 }
 
-/// The edit that makes the rows of \a before those of \a after.
+/// Returns the edit that turns the rows \a before into the rows \a after.
 Platform::Edit editBetween(const std::vector<Model::Row> &before,
                            const std::vector<Model::Row> &after)
 {
@@ -88,7 +88,7 @@
 ExitCode commitAndPrint(const Options &options, const Platform::Edit &edit)
 {
     if (options.operator_.empty())
-        return usage("--operator NAME ...: the audit trail needs a name");
+        return usage("--operator NAME ...: the audit trail requires a name");
     const auto version = commitEdit(options, edit);
     if (!version)
         return fail();
@@ -119,7 +119,7 @@
 {
     const auto &arguments = options.arguments_;
     if (arguments.size() < 3)
-        return usage("set 'KIND NAME' COLUMN=VALUE ... (COLUMN= takes the cell out)");
+        return usage("set 'KIND NAME' COLUMN=VALUE ... (COLUMN= removes the cell)");
     const auto key = Model::rowKeyFromText(arguments[1]);
     if (!key)
         return fail();
@@ -134,7 +134,7 @@
         if (!value.empty())
             cell = value;
     }
-    // All mistakes at once are more use than the first one, which the commit would tell.
+    // Reports all errors at once; the commit reports only the first one.
     const auto mirror = readTable(options);
     if (!mirror)
         return fail();
@@ -143,7 +143,7 @@
     const auto after = Platform::rowsAfter(*mirror, edit);
     if (!after)
         return fail();
-    if (!printMistakes(*after))
+    if (!printErrors(*after))
         return ExitCode::Failed;
     return commitAndPrint(options, edit);
 }
@@ -167,7 +167,7 @@
     const auto rows = rowsFromFile(options.arguments_[1]);
     if (!rows)
         return fail();
-    if (!printMistakes(*rows))
+    if (!printErrors(*rows))
         return ExitCode::Failed;
     std::cout << rows->size() << " rows are good\n";
     return ExitCode::Ok;
@@ -180,7 +180,7 @@
     const auto rows = rowsFromFile(options.arguments_[1]);
     if (!rows)
         return fail();
-    if (!printMistakes(*rows))
+    if (!printErrors(*rows))
         return ExitCode::Failed;
     const auto mirror = readTable(options);
     if (!mirror)
@@ -218,8 +218,8 @@
     const auto mirror = readTable(options);
     if (!mirror)
         return fail();
-    const auto held = mirror->rows_.find(row.row_);
-    if (held == mirror->rows_.end() || held->second.deleted_) {
+    const auto storedRow = mirror->rows_.find(row.row_);
+    if (storedRow == mirror->rows_.end() || storedRow->second.deleted_) {
         Model::fail(ResultCode::UnknownRow, "row '" + toText(row.row_) + "'");
         return fail();
     }
@@ -266,15 +266,17 @@
     const auto instances = readInstances(options);
     if (!instances)
         return fail();
-    std::cout << nowText(*instances, Model::ServiceId(options.arguments_[1]),
-                         Model::CallerId(options.arguments_[2]), Model::RegionId(options.origin_));
+    std::cout << liveRouteText(*instances, Model::ServiceId(options.arguments_[1]),
+                               Model::CallerId(options.arguments_[2]),
+                               Model::RegionId(options.origin_));
     return ExitCode::Ok;
 }
 
-/// Asks instances by their addresses: with the store down there is no list and no table to read.
-ExitCode statusOfAsked(const Options &options)
+/// Requests instances by address: while the store is down, neither the list of instances nor the
+/// table can be read.
+ExitCode statusOfAddresses(const Options &options)
 {
-    std::istringstream list(options.ask_);
+    std::istringstream list(options.adminAddresses_);
     for (std::string text; std::getline(list, text, ',');) {
         const auto address = Model::addressFromText(text);
         if (!address)
@@ -282,15 +284,15 @@
         Model::Instance instance;
         instance.id_ = Model::InstanceId(text);
         instance.addresses_.controlAdmin_ = *address;
-        std::cout << instanceText(instance, Model::TableVersion(0));
+        std::cout << instanceStatusText(instance, Model::TableVersion(0));
     }
     return ExitCode::Ok;
 }
 
 ExitCode status(const Options &options)
 {
-    if (!options.ask_.empty())
-        return statusOfAsked(options);
+    if (!options.adminAddresses_.empty())
+        return statusOfAddresses(options);
     const auto mirror = readTable(options);
     const auto instances = mirror ? readInstances(options) : std::nullopt;
     const auto table = mirror ? Platform::buildTable(*mirror) : std::nullopt;
@@ -298,7 +300,7 @@
         return fail();
     std::cout << "table version " << mirror->version_.value() << " in the store\n";
     for (const auto &instance : *instances)
-        std::cout << instanceText(instance, mirror->version_);
+        std::cout << instanceStatusText(instance, mirror->version_);
     const std::string drains = drainsText(*table, wallNow());
     std::cout << (drains.empty() ? "no drains\n" : drains);
     return ExitCode::Ok;
@@ -315,7 +317,8 @@
     {"show", "show ['KIND NAME']          print the table or some rows", show},
     {"set", "set 'KIND NAME' COL=VAL...  change cells of a row, or add the row", set},
     {"remove", "remove 'KIND NAME'          remove a row", remove},
-    {"validate", "validate FILE               check a table's text, nothing is changed", validate},
+    {"validate", "validate FILE               check a table file without changing anything",
+     validate},
     {"diff", "diff FILE                   what 'apply' would change",
      [](const Options &options) {
          return diffOrApply(options, false);
@@ -329,10 +332,9 @@
     {"history", "history                     the audit trail", history},
     {"explain", "explain SERVICE CALLER --origin REGION [--at TIME]  why traffic goes where",
      explainCommand},
-    {"quarantines", "quarantines --ask ADDRESSES  requests that are kept from targets",
-     listQuarantines},
-    {"lift", "lift PRINT --ask ADDRESSES  send such a request to targets again", liftQuarantine},
-    {"status", "status [--ask ADDRESSES]    which version is in force where; drains", status},
+    {"quarantines", "quarantines --ask ADDRESSES  list the quarantined requests", listQuarantines},
+    {"lift", "lift PRINT --ask ADDRESSES  release a request from quarantine", releaseQuarantine},
+    {"status", "status [--ask ADDRESSES]    table versions in use, and drains", status},
 };
 
 } // namespace
--- a/Utilities/Tablectl/Quarantines.cpp
+++ b/Utilities/Tablectl/Quarantines.cpp
@@ -23,7 +23,8 @@
     return ExitCode::Failed;
 }
 
-/// Nothing, with BadValue as the last reason, if one is no address or there is none.
+/// Returns std::nullopt, with BadValue as the last reason, if an address is invalid or none is
+/// given.
 std::optional<std::vector<Model::Address>> addressesIn(const std::string &text)
 {
     std::vector<Model::Address> addresses;
@@ -35,12 +36,12 @@
         addresses.push_back(*address);
     }
     if (addresses.empty())
-        return Model::fail(ResultCode::BadValue, "--ask names no address");
+        return Model::fail(ResultCode::BadValue, "--ask contains no address");
     return addresses;
 }
 
-std::optional<Http::Response> call(const Model::Address &address, Http::http::verb method,
-                                   const std::string &target, const Options &options)
+std::optional<Http::Response> sendRequest(const Model::Address &address, Http::http::verb method,
+                                          const std::string &target, const Options &options)
 {
     Http::SimpleRequest request;
     request.address_ = address;
@@ -54,11 +55,11 @@
 
 ExitCode listQuarantines(const Options &options)
 {
-    const auto addresses = addressesIn(options.ask_);
+    const auto addresses = addressesIn(options.adminAddresses_);
     if (!addresses)
         return fail();
     for (const auto &address : *addresses) {
-        const auto answer = call(address, Http::http::verb::get, path, options);
+        const auto answer = sendRequest(address, Http::http::verb::get, path, options);
         const auto body
             = answer ? nlohmann::json::parse(answer->body(), nullptr, false) : nlohmann::json();
         if (!body.is_object() || !body.contains("quarantined")) {
@@ -76,22 +77,23 @@
     return ExitCode::Ok;
 }
 
-ExitCode liftQuarantine(const Options &options)
+ExitCode releaseQuarantine(const Options &options)
 {
-    const auto addresses = addressesIn(options.ask_);
-    const auto print
+    const auto addresses = addressesIn(options.adminAddresses_);
+    const auto fingerprint
         = Policy::printFromText(options.arguments_.size() > 1 ? options.arguments_[1] : "");
-    if (!addresses || !print)
+    if (!addresses || !fingerprint)
         return fail();
     for (const auto &address : *addresses) {
-        const auto answer
-            = call(address, Http::http::verb::delete_, path + ("/" + toText(*print)), options);
+        const auto answer = sendRequest(address, Http::http::verb::delete_,
+                                        path + ("/" + toText(*fingerprint)), options);
         if (!answer || answer->result() != status::ok)
             continue;
         std::cout << "lifted at " << toText(address) << "\n";
         return ExitCode::Ok;
     }
-    Model::fail(ResultCode::UnknownRow, "nobody asked has " + toText(*print) + " in quarantine");
+    Model::fail(ResultCode::UnknownRow,
+                "none of the --ask addresses has " + toText(*fingerprint) + " in quarantine");
     return fail();
 }
 
