--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -12,22 +12,22 @@
 
 namespace {
 
-/// Between two requests of a caller; two dozen callers make a hundred requests a second.
+/// Interval between two requests of a caller; 24 callers send about 100 requests a second.
 constexpr Milliseconds thinkTime{200};
-/// How long callers keep what a look-up told.
-constexpr Milliseconds lookupLife{1500};
-constexpr Milliseconds lookupPatience{1000};
-constexpr Milliseconds patience{1500};
-/// How long a caller waits beyond that, so that late answers are seen.
+/// How long callers cache the entries of a look-up.
+constexpr Milliseconds lookupTtl{1500};
+constexpr Milliseconds lookupTimeout{1000};
+constexpr Milliseconds requestTimeout{1500};
+/// How long a caller waits beyond its deadline, to observe late answers.
 constexpr Milliseconds lateSlack{2500};
 constexpr std::uint64_t objects = 40;
 constexpr Milliseconds watchStep{20};
-/// Times are judged only where this program itself was at most so late.
-constexpr Milliseconds latenessBorne{150};
-/// A caller that is told to come back late looks so often whether it is stopped.
-constexpr Milliseconds longestSleep{200};
-/// Between two requests under which targets end.
-constexpr Milliseconds endingPause{230};
+/// Time limits are checked only if this program itself was delayed by at most this much.
+constexpr Milliseconds maxLateness{150};
+/// Interval at which a caller in a long retry delay checks whether it is stopped.
+constexpr Milliseconds maxSleep{200};
+/// Interval between two poison requests.
+constexpr Milliseconds poisonInterval{230};
 
 std::string bodyFor(const std::string &id)
 {
@@ -42,7 +42,7 @@
 {
     for (std::size_t i = 0; i < count; ++i)
         Http::asio::co_spawn(context_, call(i), Http::asio::detached);
-    Http::asio::co_spawn(context_, callEnding(), Http::asio::detached);
+    Http::asio::co_spawn(context_, callPoison(), Http::asio::detached);
     Http::asio::co_spawn(context_, watchTime(), Http::asio::detached);
     thread_ = std::thread([this] {
         context_.run();
@@ -63,7 +63,7 @@
 
 bool Callers::isOnTime() const
 {
-    return latenessMs_ <= latenessBorne.count();
+    return latenessMs_ <= maxLateness.count();
 }
 
 std::vector<Record> Callers::take()
@@ -72,10 +72,10 @@
     return std::exchange(records_, {});
 }
 
-std::vector<Callers::Named> Callers::takeNamed()
+std::vector<Callers::LookupResult> Callers::takeLookupResults()
 {
     const std::lock_guard lock(mutex_);
-    return std::exchange(named_, {});
+    return std::exchange(lookupResults_, {});
 }
 
 Task<void> Callers::watchTime()
@@ -85,7 +85,7 @@
         co_await Http::sleepFor(watchStep);
         const auto took = std::chrono::steady_clock::now() - before;
         const auto late = std::chrono::duration_cast<Milliseconds>(took - watchStep).count();
-        // A lateness is remembered for as long as a request may last.
+        // A delay is remembered for as long as a request may last.
         const auto faded = latenessMs_ - 1;
         latenessMs_ = std::max<long long>({late, faded, 0});
     }
@@ -97,7 +97,7 @@
     while (!isStopping_ && std::chrono::steady_clock::now() < end) {
         const auto left
             = std::chrono::duration_cast<Milliseconds>(end - std::chrono::steady_clock::now());
-        co_await Http::sleepFor(std::min(left + Milliseconds(1), longestSleep));
+        co_await Http::sleepFor(std::min(left + Milliseconds(1), maxSleep));
     }
 }
 
@@ -106,8 +106,8 @@
     const Model::Address &address = lookups_[random_() % lookups_.size()];
     Http::ExchangeOptions options;
     options.address_ = address;
-    options.connectTimeout_ = lookupPatience;
-    options.deadline_ = std::chrono::steady_clock::now() + lookupPatience;
+    options.connectTimeout_ = lookupTimeout;
+    options.deadline_ = std::chrono::steady_clock::now() + lookupTimeout;
     options.longestIdle_ = Milliseconds(0);
     const char *region = random_() % 2 == 0 ? "r" : "s";
     const std::string target
@@ -120,33 +120,33 @@
         co_return entries;
     entries = nlohmann::json::parse(result.answer_->body()).at("addrs").get<decltype(entries)>();
     const std::lock_guard lock(mutex_);
-    named_.push_back({std::chrono::steady_clock::now(), address, entries});
+    lookupResults_.push_back({std::chrono::steady_clock::now(), address, entries});
     co_return entries;
 }
 
 Task<Record> Callers::send(Http::ConnectionPool &pool, const Model::Address &entry,
-                           const std::string &id, Milliseconds &comeBack, std::string endingPath)
+                           const std::string &id, Milliseconds &retryDelay, std::string poisonPath)
 {
     Record record;
     record.id_ = id;
     record.entry_ = entry;
-    record.endingPath_ = endingPath;
-    record.mayRepeat_ = record.endsTargets() || random_() % 3 != 0;
+    record.poisonPath_ = poisonPath;
+    record.mayRepeat_ = record.isPoison() || random_() % 3 != 0;
     record.sentAt_ = std::chrono::steady_clock::now();
     Http::Request request(record.mayRepeat_ ? http::verb::get : http::verb::post,
                           record.mayRepeat_ ? "/read/x" : "/order/x", 11);
-    if (record.endsTargets())
-        request.target(endingPath);
+    if (record.isPoison())
+        request.target(poisonPath);
     request.set(http::field::host, "h.example");
     request.set("X-Cassiacrank-Request-Id", id);
     request.set(PlatformStandIns::throughHeader, toText(entry));
     request.set("X-Cassiacrank-Affinity-Key", std::to_string(random_() % objects));
-    request.set("X-Cassiacrank-Deadline-Ms", std::to_string(patience.count()));
+    request.set("X-Cassiacrank-Deadline-Ms", std::to_string(requestTimeout.count()));
     request.prepare_payload();
     Http::ExchangeOptions options;
     options.address_ = entry;
-    options.connectTimeout_ = lookupPatience;
-    options.deadline_ = record.sentAt_ + patience + lateSlack;
+    options.connectTimeout_ = lookupTimeout;
+    options.deadline_ = record.sentAt_ + requestTimeout + lateSlack;
     const auto result = co_await Http::exchange(pool, options, request, Http::anyAnswer);
     record.endedAt_ = std::chrono::steady_clock::now();
     record.stage_ = result.stage_;
@@ -154,34 +154,34 @@
     if (!result.answer_)
         co_return record;
     record.status_ = result.answer_->result_int();
-    record.isOwnBody_ = result.answer_->body() == bodyFor(id)
-                        && (*result.answer_)["X-Cassiacrank-Request-Id"] == id;
+    record.isBodyForId_ = result.answer_->body() == bodyFor(id)
+                          && (*result.answer_)["X-Cassiacrank-Request-Id"] == id;
     const std::string wait((*result.answer_)[http::field::retry_after]);
-    comeBack = Milliseconds(static_cast<long long>(std::atof(wait.c_str()) * 1000));
+    retryDelay = Milliseconds(static_cast<long long>(std::atof(wait.c_str()) * 1000));
     co_return record;
 }
 
-void Callers::beginEnding(const std::string &path)
+void Callers::beginPoison(const std::string &path)
 {
     const std::lock_guard lock(mutex_);
-    endingPaths_.push_back(path);
+    poisonPaths_.push_back(path);
 }
 
-void Callers::endEnding(const std::string &path)
+void Callers::endPoison(const std::string &path)
 {
     const std::lock_guard lock(mutex_);
-    std::erase(endingPaths_, path);
+    std::erase(poisonPaths_, path);
 }
 
-Task<void> Callers::callEnding()
+Task<void> Callers::callPoison()
 {
     Http::ConnectionPool pool(context_);
     for (std::uint64_t sent = 0; !isStopping_; ++sent) {
         std::string path;
         {
             const std::lock_guard lock(mutex_);
-            if (!endingPaths_.empty())
-                path = endingPaths_[sent % endingPaths_.size()];
+            if (!poisonPaths_.empty())
+                path = poisonPaths_[sent % poisonPaths_.size()];
         }
         std::vector<std::string> entries;
         if (!path.empty()) {
@@ -189,13 +189,13 @@
         }
         if (!entries.empty()) {
             const auto entry = Model::addressFromText(entries[random_() % entries.size()]);
-            Milliseconds comeBack{0};
+            Milliseconds retryDelay{0};
             const std::string id = "ends-" + std::to_string(sent);
-            Record record = co_await send(pool, *entry, id, comeBack, path);
+            Record record = co_await send(pool, *entry, id, retryDelay, path);
             const std::lock_guard lock(mutex_);
             records_.push_back(std::move(record));
         }
-        co_await Http::sleepFor(endingPause);
+        co_await Http::sleepFor(poisonInterval);
     }
 }
 
@@ -210,17 +210,17 @@
             auto fresh = co_await lookUp(pool);
             if (!fresh.empty())
                 entries = std::move(fresh);
-            askAgainAt = now + lookupLife;
+            askAgainAt = now + lookupTtl;
         }
-        Milliseconds comeBack{0};
+        Milliseconds retryDelay{0};
         if (!entries.empty()) {
             const auto entry = Model::addressFromText(entries[random_() % entries.size()]);
             const std::string id = "c" + std::to_string(number) + "-" + std::to_string(sent);
-            Record record = co_await send(pool, *entry, id, comeBack, "");
+            Record record = co_await send(pool, *entry, id, retryDelay, "");
             const std::lock_guard lock(mutex_);
             records_.push_back(std::move(record));
         }
-        co_await pauseFor(comeBack + Milliseconds(random_() % (2 * thinkTime.count())));
+        co_await pauseFor(retryDelay + Milliseconds(random_() % (2 * thinkTime.count())));
     }
 }
 
--- a/Tests/Soak/Callers.h
+++ b/Tests/Soak/Callers.h
@@ -11,67 +11,68 @@
 
 namespace Soak {
 
-/// One request of a caller and what it was told.
+/// One request of a caller and its answer.
 struct Record
 {
     std::string id_;
     bool mayRepeat_ = false;
-    /// Its path, if targets end under it; it is never served then.
-    std::string endingPath_;
-    bool endsTargets() const { return !endingPath_.empty(); }
+    /// Path of a poison request, which is never served; otherwise empty.
+    std::string poisonPath_;
+    bool isPoison() const { return !poisonPath_.empty(); }
     Model::Address entry_;
     Model::SteadyTime sentAt_;
     Model::SteadyTime endedAt_;
-    /// Zero where no answer came.
+    /// HTTP status; zero without an answer.
     unsigned status_ = 0;
-    /// Why no answer came.
+    /// The stage at which the exchange failed, without an answer.
     Http::ExchangeStage stage_ = Http::ExchangeStage::NotConnected;
     Model::ResultCode code_ = Model::ResultCode::Ok;
-    /// The answer's body is the one that its target made for this id.
-    bool isOwnBody_ = false;
+    /// The answer's body is the one that the target generates for this id.
+    bool isBodyForId_ = false;
 };
 
-/// Callers that ask for entries, keep their connections, and come back when they are told to. They
-/// run on a thread of their own.
+/// Callers that look up entries, keep their connections, and honor retry delays. They run on a
+/// separate thread.
 class Callers
 {
 public:
-    /// \a lookups are the addresses where entries are asked for.
+    /// \a lookups are the addresses of the look-up services.
     Callers(std::size_t count, std::vector<Model::Address> lookups, std::uint64_t seed);
     ~Callers();
     Callers(const Callers &) = delete;
     Callers &operator=(const Callers &) = delete;
 
-    /// Sends requests for a path under which targets end, until it is taken back.
+    /// beginPoison() sends poison requests for \a path until endPoison() is called.
     /// Thread safety: any thread.
-    void beginEnding(const std::string &path);
-    void endEnding(const std::string &path);
+    void beginPoison(const std::string &path);
+    void endPoison(const std::string &path);
 
-    /// Ends the callers, each after its current request.
+    /// Stops the callers, each after its current request.
     void stop();
-    /// Returns the requests that ended since the last call. Thread safety: any thread.
+    /// Returns the requests completed since the last call. Thread safety: any thread.
     std::vector<Record> take();
-    /// Returns the entries that each look-up named since the last call, with when it did.
-    struct Named
+    /// Entries returned by a look-up service, and when.
+    struct LookupResult
     {
         Model::SteadyTime at_;
         Model::Address by_;
         std::vector<std::string> entries_;
     };
-    std::vector<Named> takeNamed();
-    /// Tells whether this thread was late by little lately. Where it was not, the machine let no
-    /// process run in time, and nothing is said about times.
+    /// Returns the look-up results since the last call.
+    std::vector<LookupResult> takeLookupResults();
+    /// Tells whether this thread was recently scheduled in time. Otherwise the host delays all
+    /// processes, and time limits are not checked.
     bool isOnTime() const;
 
 private:
     Http::Task<void> call(std::size_t number);
     Http::Task<std::vector<std::string>> lookUp(Http::ConnectionPool &pool);
     Http::Task<Record> send(Http::ConnectionPool &pool, const Model::Address &entry,
-                            const std::string &id, Model::Milliseconds &comeBack,
-                            std::string endingPath);
-    Http::Task<void> callEnding();
+                            const std::string &id, Model::Milliseconds &retryDelay,
+                            std::string poisonPath);
+    Http::Task<void> callPoison();
     Http::Task<void> watchTime();
-    /// Pauses a caller, for no longer than until it is stopped.
+    /// Pauses a caller for \a duration or until it is stopped.
     Http::Task<void> pauseFor(Model::Milliseconds duration);
 
     std::vector<Model::Address> lookups_;
@@ -81,8 +82,8 @@
     std::atomic<long long> latenessMs_{0};
     std::mutex mutex_;
     std::vector<Record> records_;
-    std::vector<Named> named_;
-    std::vector<std::string> endingPaths_;
+    std::vector<LookupResult> lookupResults_;
+    std::vector<std::string> poisonPaths_;
     std::thread thread_;
 };
 
--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -1,4 +1,4 @@
-// Plays seeds of the fault soak by hand: soak --from=1 --to=50, or --minutes=5 with fresh seeds.
+// Runs seeds of the fault soak: soak --from=1 --to=50, or --minutes=5 with fresh seeds.
 
 #include "Run.h"
 
@@ -9,11 +9,11 @@
 
 DEFINE_uint64(from, 1, "first seed");
 DEFINE_uint64(to, 1, "last seed");
-DEFINE_double(minutes, 0, "play fresh seeds for so long instead");
+DEFINE_double(minutes, 0, "run fresh seeds for this many minutes instead");
 DEFINE_uint64(instances, 6, "instances of the system");
 DEFINE_uint64(targets, 8, "targets");
 DEFINE_int32(seconds, 46, "length of a run");
-DEFINE_bool(ending, true, "send requests under which targets end");
+DEFINE_bool(ending, true, "send poison requests, under which targets crash");
 DEFINE_bool(plan, false, "print the faults of each seed");
 
 namespace {
@@ -24,7 +24,7 @@
     size.instances_ = FLAGS_instances;
     size.targets_ = FLAGS_targets;
     size.length_ = Model::Milliseconds(FLAGS_seconds * 1000);
-    size.hasEndingRequests_ = FLAGS_ending;
+    size.hasPoisonRequests_ = FLAGS_ending;
     if (FLAGS_plan) {
         for (const auto &fault : Soak::planOf(seed, size))
             std::cout << "  " << Soak::toText(fault) << "\n";
@@ -46,11 +46,11 @@
 
 int main(int argc, char **argv)
 {
-    gflags::SetUsageMessage("Plays faults against real processes and checks the promises.");
+    gflags::SetUsageMessage("Injects faults into real processes and checks the promises.");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_seconds * 1000 < Soak::shortestLength.count() || FLAGS_instances < 2
         || FLAGS_targets < 4) {
-        std::cerr << "a run needs at least " << Soak::shortestLength.count() / 1000
+        std::cerr << "a run takes at least " << Soak::shortestLength.count() / 1000
                   << " seconds, two instances and four targets\n";
         return 2;
     }
--- a/Tests/Soak/Plan.cpp
+++ b/Tests/Soak/Plan.cpp
@@ -11,17 +11,17 @@
 
 using Model::Milliseconds;
 
-/// One fault starts in so much time on average, so that two or three are there at once.
-constexpr Milliseconds pauseBetween{900};
-constexpr Milliseconds shortest{300};
-constexpr Milliseconds longest{4500};
+/// Mean time between fault starts; two or three faults are active at once.
+constexpr Milliseconds meanFaultInterval{900};
+constexpr Milliseconds minFaultTime{300};
+constexpr Milliseconds maxFaultTime{4500};
 
-/// A request under which targets end comes for at least so long; there are up to so many in a run.
-constexpr Milliseconds shortestEnding{8000};
-constexpr Milliseconds longestEnding{12000};
-constexpr std::size_t mostEnding = 3;
+/// Duration of a poison request's repetition, and the maximum number of them in a run.
+constexpr Milliseconds minPoisonTime{8000};
+constexpr Milliseconds maxPoisonTime{12000};
+constexpr std::size_t maxPoisonRequests = 3;
 
-/// Kinds that are drawn for every plan; the last one has draws of its own.
+/// Number of kinds drawn for every plan; poison requests are drawn separately.
 constexpr std::size_t drawnKinds = 14;
 
 constexpr std::array<const char *, drawnKinds + 1> names = {
@@ -44,30 +44,30 @@
             std::uniform_int_distribution<long long>(from.count(), to.count())(random));
     };
     const auto end = size.length_ - calmTime - leaveTime;
-    const std::size_t count = 1 + random() % mostEnding;
+    const std::size_t count = 1 + random() % maxPoisonRequests;
     for (std::size_t i = 0; i < count; ++i) {
         Fault fault;
         fault.kind_ = FaultKind::RequestEndsTargets;
-        fault.start_ = draw(settleTime, std::max(settleTime, end - shortestEnding));
-        fault.end_ = std::min(end, fault.start_ + draw(shortestEnding, longestEnding));
+        fault.start_ = draw(settleTime, std::max(settleTime, end - minPoisonTime));
+        fault.end_ = std::min(end, fault.start_ + draw(minPoisonTime, maxPoisonTime));
         fault.subject_ = i;
         faults.push_back(fault);
     }
 }
 
-/// From the start of the leaves until the store has been calm for long enough to bind.
-constexpr Milliseconds storeSettles{4200};
-constexpr Milliseconds pauseBetweenLeaves{1500};
+/// Time from the start of the leaves until the store has been calm for long enough to bind.
+constexpr Milliseconds storeSettleTime{4200};
+constexpr Milliseconds leaveInterval{1500};
 constexpr std::size_t leaves = 3;
-/// An instance is gone for so long that nobody may name it any more.
-constexpr Milliseconds goneStart{300};
-constexpr Milliseconds goneEnd{11500};
+/// One instance is down for longer than look-ups may return it.
+constexpr Milliseconds downStart{300};
+constexpr Milliseconds downEnd{11500};
 constexpr Milliseconds editStart{5000};
-/// All targets shed for a moment, so that callers are told that their requests have not run.
+/// All targets shed load briefly, so that callers receive not-run refusals.
 constexpr Milliseconds shedStart{14000};
 constexpr Milliseconds shedEnd{14600};
 
-/// What disturbs instances and targets, and not the store.
+/// Faults of instances and targets that leave the store undisturbed.
 constexpr std::array<FaultKind, 8> besideLeaves
     = {FaultKind::InstanceKilled, FaultKind::InstancePaused,  FaultKind::InstanceStopped,
        FaultKind::StoreWay,       FaultKind::PeerWays,        FaultKind::TargetWay,
@@ -88,30 +88,31 @@
                          std::size_t variant) {
         faults.push_back({kind, from, std::min(end, to), subject, variant});
     };
-    // Something is judged in every run: one instance is left alone, and the ways to all targets
-    // that leave are.
+    // One instance and the connections to all leaving targets stay undisturbed, so that every run
+    // has something to check.
     const std::size_t spared = drawBelow(size.instances_);
     const auto drawInstance = [&] {
         return (spared + 1 + drawBelow(size.instances_ - 1)) % size.instances_;
     };
-    add(FaultKind::InstanceKilled, start + goneStart, start + goneEnd, drawInstance(), 0);
+    add(FaultKind::InstanceKilled, start + downStart, start + downEnd, drawInstance(), 0);
     add(FaultKind::TableEdited, start + editStart, start + editStart, 0, 0);
-    if (size.hasEndingRequests_)
-        add(FaultKind::RequestEndsTargets, start + goneStart, end, mostEnding, 0);
+    if (size.hasPoisonRequests_)
+        add(FaultKind::RequestEndsTargets, start + downStart, end, maxPoisonRequests, 0);
     for (std::size_t target = 0; target < size.targets_; ++target)
         add(FaultKind::TargetMisbehaves, start + shedStart, start + shedEnd, target, 0);
     const bool isTogether = draw(0, 2) == 0;
     const std::size_t first = drawBelow(size.targets_);
-    auto at = start + storeSettles + Milliseconds(draw(0, 300));
+    auto at = start + storeSettleTime + Milliseconds(draw(0, 300));
     for (std::size_t i = 0; i < leaves; ++i) {
         const std::size_t variant = isTogether ? 0 : static_cast<std::size_t>(draw(0, 3));
         add(FaultKind::TargetLeaves, at, end, (first + i) % size.targets_, variant);
         if (!isTogether)
-            at += Milliseconds(draw(0, pauseBetweenLeaves.count()));
+            at += Milliseconds(draw(0, leaveInterval.count()));
     }
-    for (auto time = start; time < end; time += Milliseconds(draw(0, 2 * pauseBetween.count()))) {
+    for (auto time = start; time < end;
+         time += Milliseconds(draw(0, 2 * meanFaultInterval.count()))) {
         const FaultKind kind = besideLeaves[drawBelow(besideLeaves.size())];
-        const auto until = time + Milliseconds(draw(shortest.count(), longest.count()));
+        const auto until = time + Milliseconds(draw(minFaultTime.count(), maxFaultTime.count()));
         const std::size_t subject
             = concernsInstance(kind)
                   ? drawInstance()
@@ -130,17 +131,19 @@
     };
     const auto end = size.length_ - calmTime - leaveTime;
     std::vector<Fault> faults;
-    for (auto at = settleTime; at < end; at += Milliseconds(draw(0, 2 * pauseBetween.count()))) {
+    for (auto at = settleTime; at < end;
+         at += Milliseconds(draw(0, 2 * meanFaultInterval.count()))) {
         Fault fault;
         fault.kind_ = static_cast<FaultKind>(draw(0, static_cast<long long>(drawnKinds) - 1));
         fault.start_ = at;
-        fault.end_ = std::min(end, at + Milliseconds(draw(shortest.count(), longest.count())));
+        fault.end_
+            = std::min(end, at + Milliseconds(draw(minFaultTime.count(), maxFaultTime.count())));
         const auto subjects = concernsInstance(fault.kind_) ? size.instances_ : size.targets_;
         fault.subject_ = static_cast<std::size_t>(draw(0, static_cast<long long>(subjects) - 1));
         fault.variant_ = static_cast<std::size_t>(draw(0, 3));
         faults.push_back(fault);
     }
-    if (size.hasEndingRequests_)
+    if (size.hasPoisonRequests_)
         addEndingRequests(faults, seed, size);
     addLeaves(faults, seed, size);
     return faults;
--- a/Tests/Soak/Promises.cpp
+++ b/Tests/Soak/Promises.cpp
@@ -10,18 +10,18 @@
 
 namespace {
 
-/// Bounds hold where nothing was disturbed for so long before.
-constexpr Milliseconds calmBefore{4000};
-/// News of a leaving target and of an edit must be in force everywhere after this.
-constexpr Milliseconds knownWithin{2500};
-/// An instance that is gone is named no longer than this.
-constexpr Milliseconds namedWithin{7000};
-/// The routes' timeout, and how long after it the answer may come.
+/// Time bounds apply only after this duration without disturbance.
+constexpr Milliseconds requiredCalm{4000};
+/// Every instance must apply a target's leave and a table edit within this time.
+constexpr Milliseconds propagationLimit{2500};
+/// Look-ups may return a stopped instance for at most this long.
+constexpr Milliseconds staleLookupLimit{7000};
+/// The routes' timeout, and the tolerated delay of an answer beyond it.
 constexpr Milliseconds timeout{1500};
-constexpr Milliseconds heldSlack{500};
-/// After so many ends a request is known to be what ends targets, and so many more are borne later.
-constexpr std::size_t endsToKnow = 3;
-constexpr int mostLateEnds = 3;
+constexpr Milliseconds answerSlack{500};
+/// Crashes after which a poison request must be identified, and the crashes tolerated after that.
+constexpr std::size_t crashesToIdentify = 3;
+constexpr int maxLateCrashes = 3;
 
 bool promisesNotRun(unsigned code)
 {
@@ -38,24 +38,24 @@
 const char *toText(Promise promise)
 {
     switch (promise) {
-    case Promise::OwnAnswers:
+    case Promise::AnswerMatchesRequest:
         return "each caller gets the answer to its own request";
-    case Promise::ProperRequestsAreTaken:
-        return "proper requests are taken";
+    case Promise::ValidRequestsAreAccepted:
+        return "valid requests are accepted";
     case Promise::AnswersInTime:
         return "an answer comes within the route's timeout";
     case Promise::AtMostOnce:
-        return "what must not repeat runs at most once";
+        return "a request that must not be repeated runs at most once";
     case Promise::NotRunIsTrue:
-        return "what was told not to have run has not run";
+        return "a request reported as not run has not run";
     case Promise::LeavingTargets:
-        return "a leaving target gets no new work";
-    case Promise::NamesOfTheGone:
-        return "what is gone is not named";
+        return "a leaving target receives no new requests";
+    case Promise::LookupsOmitStoppedInstances:
+        return "a stopped instance is not returned by look-ups";
     case Promise::EditsInForce:
-        return "an edit is in force everywhere";
-    case Promise::EndingRequests:
-        return "a request under which targets end is kept from them";
+        return "an edit is in force at every instance";
+    case Promise::PoisonRequests:
+        return "a poison request is kept from targets";
     }
     return "";
 }
@@ -66,30 +66,30 @@
 {
 }
 
-void Promises::broken(Promise promise, const std::string &what)
+void Promises::reportBroken(Promise promise, const std::string &what)
 {
-    found_.push_back(std::string(toText(promise)) + ": " + what);
+    violations_.push_back(std::string(toText(promise)) + ": " + what);
 }
 
-/// Nothing was done to the instance or to the store from a while before \a from until now.
+/// Tells whether instance and store were undisturbed from requiredCalm before \a from until now.
 bool Promises::wasCalm(const Model::Address &entry, SteadyTime from) const
 {
     const auto instance = site_.calmSince(entry);
     const auto store = site_.storeCalmSince();
-    return instance && store && std::max(*instance, *store) + calmBefore <= from;
+    return instance && store && std::max(*instance, *store) + requiredCalm <= from;
 }
 
-/// Tells whether an instance may send nothing at \a at to a target that left at \a leftAt. The
-/// store was calm when it took the leave, and the instance and its way to the target have been for
-/// a while by now.
+/// Tells whether an instance must send nothing at \a at to a target that left at \a leftAt: the
+/// store was undisturbed when it recorded the leave, and the instance and its connection to the
+/// target have been undisturbed for long enough.
 bool Promises::isBoundBy(const Model::Address &entry, SteadyTime leftAt, SteadyTime at,
                          std::size_t target) const
 {
     const auto instance = site_.calmSince(entry);
     const auto store = site_.storeCalmSince();
     const auto way = site_.targetWayCalmSince(target);
-    return callers_.isOnTime() && instance && store && way && at >= leftAt + knownWithin
-           && *store + calmBefore <= leftAt && std::max(*instance, *way) + calmBefore <= at;
+    return callers_.isOnTime() && instance && store && way && at >= leftAt + propagationLimit
+           && *store + requiredCalm <= leftAt && std::max(*instance, *way) + requiredCalm <= at;
 }
 
 std::vector<std::string> Promises::check()
@@ -99,7 +99,7 @@
         checkTime(record);
         if (promisesNotRun(record.status_)) {
             judge(Promise::NotRunIsTrue);
-            toldNotRun_.push_back(record.id_);
+            reportedNotRun_.push_back(record.id_);
         }
         if (!record.mayRepeat_)
             judge(Promise::AtMostOnce);
@@ -109,9 +109,9 @@
     checkLeaving();
     checkNames();
     checkEdit();
-    checkEnds();
-    countJudgedEnding();
-    return std::exchange(found_, {});
+    checkCrashes();
+    countJudgedPoisonRequests();
+    return std::exchange(violations_, {});
 }
 
 void Promises::checkAnswer(const Record &record)
@@ -119,13 +119,13 @@
     const std::string what
         = record.id_ + " " + std::to_string(record.status_) + " by " + toText(record.entry_);
     if (record.status_ == 200)
-        judge(Promise::OwnAnswers);
+        judge(Promise::AnswerMatchesRequest);
     if (record.status_ > 0)
-        judge(Promise::ProperRequestsAreTaken);
-    if (record.status_ == 200 && !record.isOwnBody_)
-        broken(Promise::OwnAnswers, what);
+        judge(Promise::ValidRequestsAreAccepted);
+    if (record.status_ == 200 && !record.isBodyForId_)
+        reportBroken(Promise::AnswerMatchesRequest, what);
     if (record.status_ >= 400 && record.status_ < 500 && !promisesNotRun(record.status_))
-        broken(Promise::ProperRequestsAreTaken, what);
+        reportBroken(Promise::ValidRequestsAreAccepted, what);
 }
 
 void Promises::checkTime(const Record &record)
@@ -135,9 +135,9 @@
                           && record.stage_ != Http::ExchangeStage::NotConnected;
     if (isJudged)
         judge(Promise::AnswersInTime);
-    if (isJudged && took > timeout + heldSlack) {
+    if (isJudged && took > timeout + answerSlack) {
         const auto ms = std::chrono::duration_cast<Milliseconds>(took).count();
-        broken(Promise::AnswersInTime, record.id_ + " after " + std::to_string(ms) + " ms");
+        reportBroken(Promise::AnswersInTime, record.id_ + " after " + std::to_string(ms) + " ms");
     }
 }
 
@@ -150,11 +150,11 @@
     }
     for (const auto &record : records_) {
         if (!record.mayRepeat_ && runs[record.id_] > 1)
-            broken(Promise::AtMostOnce, record.id_);
+            reportBroken(Promise::AtMostOnce, record.id_);
     }
-    for (const auto &id : toldNotRun_) {
+    for (const auto &id : reportedNotRun_) {
         if (runs[id] > 0)
-            broken(Promise::NotRunIsTrue, id);
+            reportBroken(Promise::NotRunIsTrue, id);
     }
 }
 
@@ -176,13 +176,13 @@
         || !isBoundBy(*through, left->second, arrival.at_, target))
         return;
     const auto after = std::chrono::duration_cast<Milliseconds>(arrival.at_ - left->second);
-    broken(Promise::LeavingTargets, arrival.request_ + " reached " + arrival.run_ + " through "
-                                        + arrival.through_ + " " + std::to_string(after.count())
-                                        + " ms after its leave");
+    reportBroken(Promise::LeavingTargets,
+                 arrival.request_ + " reached " + arrival.run_ + " through " + arrival.through_
+                     + " " + std::to_string(after.count()) + " ms after its leave");
 }
 
-/// Each instance that is bound by a leave while the target serves on is judged by it, whether or
-/// not it sends anything there.
+/// Counts each instance that is bound by a leave while the target keeps serving, whether or not the
+/// instance sends it anything.
 void Promises::countJudgedLeaves()
 {
     const auto now = steadyNow();
@@ -202,17 +202,17 @@
 
 void Promises::checkNames()
 {
-    for (const auto &named : callers_.takeNamed()) {
+    for (const auto &named : callers_.takeLookupResults()) {
         Model::Address by = named.by_;
         by.port_ = 8144;
         if (!wasCalm(by, named.at_))
             continue;
-        if (site_.isAnyGoneFor(namedWithin, named.at_))
-            judge(Promise::NamesOfTheGone);
+        if (site_.isAnyDownFor(staleLookupLimit, named.at_))
+            judge(Promise::LookupsOmitStoppedInstances);
         for (const auto &entry : named.entries_) {
-            const auto gone = site_.goneSince(entry);
-            if (gone && named.at_ > *gone + namedWithin)
-                broken(Promise::NamesOfTheGone, entry + " by " + toText(by));
+            const auto gone = site_.downSince(entry);
+            if (gone && named.at_ > *gone + staleLookupLimit)
+                reportBroken(Promise::LookupsOmitStoppedInstances, entry + " by " + toText(by));
         }
     }
 }
@@ -221,7 +221,7 @@
 {
     const auto at = site_.editedAt();
     const std::string route = site_.newestRoute();
-    if (route.empty() || route == checkedRoute_ || steadyNow() < at + knownWithin)
+    if (route.empty() || route == checkedRoute_ || steadyNow() < at + propagationLimit)
         return;
     checkedRoute_ = route;
     for (const auto &instance : site_.fleet().instances_) {
@@ -232,42 +232,43 @@
             continue;
         judge(Promise::EditsInForce);
         if (answer->result() == status::not_found)
-            broken(Promise::EditsInForce, route + " at " + instance->name_);
+            reportBroken(Promise::EditsInForce, route + " at " + instance->name_);
     }
 }
 
-/// Who was disturbed when a target ended, or just before, is not bound: any of them may have sent
-/// what ended it.
-void Promises::checkEnds()
+/// Instances disturbed at or just before a target's crash are not bound: any of them may have sent
+/// the request that caused it.
+void Promises::checkCrashes()
 {
     const auto &instances = site_.fleet().instances_;
-    for (const auto &[path, times] : site_.ends()) {
-        for (std::size_t &seen = endsSeen_[path]; seen < times.size(); ++seen) {
+    for (const auto &[path, times] : site_.crashTimes()) {
+        for (std::size_t &seen = checkedCrashes_[path]; seen < times.size(); ++seen) {
             const auto at = times[seen];
             const bool allCalm
                 = std::all_of(instances.begin(), instances.end(), [&](const auto &instance) {
                       return wasCalm(instance->entry(), at);
                   });
-            if (seen < endsToKnow || at <= times[endsToKnow - 1] + calmBefore || !allCalm)
+            if (seen < crashesToIdentify || at <= times[crashesToIdentify - 1] + requiredCalm
+                || !allCalm)
                 continue;
-            if (++lateEnds_[path] > mostLateEnds)
-                broken(Promise::EndingRequests, path);
+            if (++lateCrashes_[path] > maxLateCrashes)
+                reportBroken(Promise::PoisonRequests, path);
         }
     }
 }
 
-/// Requests under which targets ended before, that came when this was known.
-void Promises::countJudgedEnding()
+/// Counts poison requests that arrive after they should have been identified.
+void Promises::countJudgedPoisonRequests()
 {
-    const auto ends = site_.ends();
-    for (; recordsSeen_ < records_.size(); ++recordsSeen_) {
-        const Record &record = records_[recordsSeen_];
-        const auto found = ends.find(record.endingPath_);
-        if (found == ends.end() || found->second.size() < endsToKnow)
+    const auto ends = site_.crashTimes();
+    for (; checkedRecords_ < records_.size(); ++checkedRecords_) {
+        const Record &record = records_[checkedRecords_];
+        const auto found = ends.find(record.poisonPath_);
+        if (found == ends.end() || found->second.size() < crashesToIdentify)
             continue;
-        const auto known = found->second[endsToKnow - 1] + calmBefore;
+        const auto known = found->second[crashesToIdentify - 1] + requiredCalm;
         if (record.sentAt_ > known && wasCalm(record.entry_, record.sentAt_))
-            judge(Promise::EndingRequests);
+            judge(Promise::PoisonRequests);
     }
 }
 
@@ -276,7 +277,7 @@
     double served = 0;
     double sent = 0;
     for (const auto &record : records_) {
-        if (record.sentAt_ < from || record.endsTargets())
+        if (record.sentAt_ < from || record.isPoison())
             continue;
         sent += 1;
         served += record.status_ == 200 ? 1 : 0;
--- a/Tests/Soak/Promises.h
+++ b/Tests/Soak/Promises.h
@@ -7,28 +7,28 @@
 
 namespace Soak {
 
-/// What the system promises.
+/// The guarantees of the system.
 enum class Promise {
-    OwnAnswers,
-    ProperRequestsAreTaken,
+    AnswerMatchesRequest,
+    ValidRequestsAreAccepted,
     AnswersInTime,
     AtMostOnce,
     NotRunIsTrue,
     LeavingTargets,
-    NamesOfTheGone,
+    LookupsOmitStoppedInstances,
     EditsInForce,
-    EndingRequests,
+    PoisonRequests,
 };
 constexpr std::size_t promiseCount = 9;
 
-/// Returns the promise in words. Thread safety: any thread.
+/// Returns a description of \a promise. Thread safety: any thread.
 const char *toText(Promise promise);
 
-/// How often each promise was judged, by its number. A check that excuses everything passes every
-/// run; its count shows it.
+/// How often each promise was checked, by its number. A count of zero reveals a check whose
+/// exemptions cover every case.
 using JudgedCounts = std::array<std::size_t, promiseCount>;
 
-/// What callers were told and what targets did, held against what the system promises.
+/// Compares the answers that callers received and the requests that targets ran with the promises.
 ///
 /// Thread safety: none.
 class Promises
@@ -36,9 +36,9 @@
 public:
     Promises(SoakSite &site, Callers &callers);
 
-    /// Checks what happened since the last call; returns what broke a promise.
+    /// Checks the events since the last call; returns the violations.
     std::vector<std::string> check();
-    /// The part of the requests since \a from that a target answered.
+    /// Returns the fraction of the requests since \a from that a target answered.
     double servedSince(Model::SteadyTime from) const;
     std::size_t requests() const { return records_.size(); }
     const JudgedCounts &judged() const { return judged_; }
@@ -52,28 +52,28 @@
     void countJudgedLeaves();
     void checkNames();
     void checkEdit();
-    void checkEnds();
-    void countJudgedEnding();
+    void checkCrashes();
+    void countJudgedPoisonRequests();
     bool wasCalm(const Model::Address &entry, Model::SteadyTime from) const;
     bool isBoundBy(const Model::Address &entry, Model::SteadyTime leftAt, Model::SteadyTime at,
                    std::size_t target) const;
     void judge(Promise promise) { ++judged_[static_cast<std::size_t>(promise)]; }
-    void broken(Promise promise, const std::string &what);
+    void reportBroken(Promise promise, const std::string &what);
 
     SoakSite &site_;
     Callers &callers_;
     std::vector<Record> records_;
     JudgedCounts judged_{};
-    /// Requests of which callers were told that they have not run and never will.
-    std::vector<std::string> toldNotRun_;
-    /// Leaves that were judged, each by the run that left and the instance.
+    /// Requests reported to callers as not run and never to be run.
+    std::vector<std::string> reportedNotRun_;
+    /// Checked leaves: the target incarnation that left and the bound instance.
     std::set<std::pair<std::string, std::string>> judgedLeaves_;
-    /// Ends of targets under each request that were looked at, and those that came too late.
-    std::map<std::string, std::size_t> endsSeen_;
-    std::map<std::string, int> lateEnds_;
-    std::size_t recordsSeen_ = 0;
+    /// Target crashes checked for each poison request, and those after its quarantine was due.
+    std::map<std::string, std::size_t> checkedCrashes_;
+    std::map<std::string, int> lateCrashes_;
+    std::size_t checkedRecords_ = 0;
     std::string checkedRoute_;
-    std::vector<std::string> found_;
+    std::vector<std::string> violations_;
 };
 
 } // namespace Soak
--- a/Tests/Soak/Run.cpp
+++ b/Tests/Soak/Run.cpp
@@ -10,11 +10,11 @@
 
 constexpr std::size_t callerCount = 24;
 constexpr Milliseconds tick{100};
-/// The last part of a run, in which everything has recovered and is served again.
+/// The last part of a run, after recovery, in which requests must be served again.
 constexpr Milliseconds servedTime{4000};
-constexpr double leastServed = 0.9;
+constexpr double minServed = 0.9;
 
-/// Applies what is due of a plan: starts and ends in the order of their times.
+/// Starts and ends the due faults of a plan in the order of their times.
 class Player
 {
 public:
@@ -63,7 +63,7 @@
     SoakSite site(size);
     result.directory_ = site.fleet().directory();
     if (!site.start()) {
-        result.broken_.push_back("the instances do not begin to serve");
+        result.broken_.push_back("instances failed to start serving");
         return result;
     }
     Callers callers(callerCount, site.lookups(), seed);
@@ -78,7 +78,7 @@
         player.playUntil(std::chrono::duration_cast<Milliseconds>(elapsed));
         Harness::pause(tick);
         result.broken_ = promises.check();
-        for (auto &mistake : site.takeMistakes())
+        for (auto &mistake : site.takeErrors())
             result.broken_.push_back(std::move(mistake));
     }
     callers.stop();
@@ -89,14 +89,15 @@
     if (result.broken_.empty()) {
         for (std::size_t i = 0; i < promiseCount; ++i) {
             const auto promise = static_cast<Promise>(i);
-            const bool isInPlan = promise != Promise::EndingRequests || size.hasEndingRequests_;
+            const bool isInPlan = promise != Promise::PoisonRequests || size.hasPoisonRequests_;
             if (isInPlan && result.judged_[i] == 0)
-                result.broken_.push_back(std::string("nothing was judged: ") + toText(promise));
+                result.broken_.push_back(std::string("nothing was checked for: ")
+                                         + toText(promise));
         }
     }
     result.servedAtEnd_ = promises.servedSince(endAt - servedTime);
-    if (result.broken_.empty() && result.servedAtEnd_ < leastServed) {
-        result.broken_.push_back("what was disturbed recovers: served "
+    if (result.broken_.empty() && result.servedAtEnd_ < minServed) {
+        result.broken_.push_back("service did not recover from the faults; fraction served: "
                                  + std::to_string(result.servedAtEnd_));
     }
     return result;
--- a/Tests/Soak/SoakSite.cpp
+++ b/Tests/Soak/SoakSite.cpp
@@ -18,32 +18,32 @@
 
 constexpr std::array<const char *, 4> wayModes = {"freeze", "black-hole", "cut", "lose-answers"};
 constexpr std::array<const char *, 4> domains = {"r-a", "s-a", "r-b", "s-b"};
-/// Numbers in the fleet's net that no instance has.
+/// Host numbers in the fleet's network that no instance uses.
 constexpr int proxyHost = 250;
 constexpr int waysHost = 240;
 constexpr int storePort = 9000;
 constexpr int targetPort = 9200;
 constexpr int peerPort = 10000;
-/// One way between instances, so that answers can overtake each other.
+/// One-way delay between instances, which allows answers to be reordered.
 constexpr int peerDelayUs = 2000;
 constexpr int targetDelayUs = 1000;
-/// The platform's patience with a stopped process, and a little for this program.
-constexpr Milliseconds stopPatience{6500};
-/// A process that was started a moment ago has begun by then.
-constexpr Milliseconds startPatience{2000};
+/// The platform's timeout for stopping a process, with some slack for this program.
+constexpr Milliseconds stopTimeout{6500};
+/// A started process is initialized within this time.
+constexpr Milliseconds startTimeout{2000};
 
 std::uint16_t port(int base, std::size_t number)
 {
     return static_cast<std::uint16_t>(base + static_cast<int>(number));
 }
 
-/// Requests for paths that begin so end the targets that run them; these are back after a while.
-constexpr const char *endingPath = "/read/ends-";
+/// A target that runs a request with this path prefix crashes, and restarts after a delay.
+constexpr const char *poisonPathPrefix = "/read/ends-";
 constexpr Milliseconds backAfter{400};
 
 TargetFaults withEnds(TargetFaults faults)
 {
-    faults.endsUnder_ = endingPath;
+    faults.endsUnder_ = poisonPathPrefix;
     faults.backAfter_ = backAfter;
     return faults;
 }
@@ -78,7 +78,7 @@
     return {fleet_.host(waysHost), port(targetPort, target)};
 }
 
-/// The ways of one instance to its peers: it dials ports of its own for each of them.
+/// Returns the settings by which an instance dials a separate proxy port for each peer.
 std::string SoakSite::peerSettings(std::size_t instance) const
 {
     std::string text = "[dial]\n";
@@ -114,7 +114,7 @@
     fleet_.configure(version_);
     for (std::size_t i = 0; i < size_.targets_; ++i) {
         fleet_.targets_.push_back(std::make_unique<PlatformStandIns::Target>(
-            "127.0.0.1", "t" + std::to_string(++lastRun_)));
+            "127.0.0.1", "t" + std::to_string(++lastIncarnation_)));
         fleet_.targets_.back()->setFaults(withEnds({}));
         fleet_.targets_.back()->setBack([this, i](const std::string &earlier) {
             registerTarget(i, "ready");
@@ -151,7 +151,7 @@
     request.target_ = "/standin/switch";
     request.body_ = json{{"group", group}, {"mode", mode}}.dump();
     if (!Http::sendAndWait(request))
-        mistakes_.push_back("the proxy does not answer");
+        errors_.push_back("fault proxy did not answer the switch request");
 }
 
 void SoakSite::registerTarget(std::size_t number, const std::string &state)
@@ -201,22 +201,22 @@
     return store_.calmSince();
 }
 
-std::optional<SteadyTime> SoakSite::goneSince(const std::string &entry) const
+std::optional<SteadyTime> SoakSite::downSince(const std::string &entry) const
 {
-    const auto found = gone_.find(entry);
-    if (found == gone_.end())
+    const auto found = downSince_.find(entry);
+    if (found == downSince_.end())
         return std::nullopt;
     return found->second;
 }
 
-bool SoakSite::isAnyGoneFor(Milliseconds duration, SteadyTime at) const
+bool SoakSite::isAnyDownFor(Milliseconds duration, SteadyTime at) const
 {
-    return std::any_of(gone_.begin(), gone_.end(), [&](const auto &entry) {
+    return std::any_of(downSince_.begin(), downSince_.end(), [&](const auto &entry) {
         return at > entry.second + duration;
     });
 }
 
-/// A planned stop: the process must end by itself in time, and well.
+/// Starts a planned stop: the process must exit by itself, in time and with status 0.
 void SoakSite::stopInstance(std::size_t number)
 {
     auto &instance = *fleet_.instances_[number];
@@ -225,27 +225,27 @@
         stop->second.mustStart_ = false;
     if (!instance.process_->isRunning() || stop != stops_.end())
         return;
-    Harness::waitUntil(startPatience, [&] {
+    Harness::waitUntil(startTimeout, [&] {
         return instance.process_->minds(SIGTERM);
     });
     instance.process_->signal(SIGTERM);
     stops_[number] = {steadyNow(), false};
 }
 
-/// Tells whether a stop is over. One whose process is paused meanwhile need not end well, nor in
-/// time where the machine lets no process run in time.
+/// Tells whether a stop is over. A process that is paused meanwhile may exit with an error, and the
+/// time limit does not apply while the host schedules processes late.
 bool SoakSite::hasStopped(std::size_t number, const Stop &stop)
 {
     auto &instance = *fleet_.instances_[number];
     const auto code = instance.process_->wait(Milliseconds(0));
     const bool isPaused = pauseCount_[number] > 0;
-    const bool isLate = steadyNow() - stop.askedAt_ > stopPatience;
+    const bool isLate = steadyNow() - stop.requestedAt_ > stopTimeout;
     if (!code && !isPaused && !isLate)
         return false;
     const bool isJudged = !isPaused && (code || !callers_ || callers_->isOnTime());
     if (isJudged && code.value_or(-1) != 0) {
-        mistakes_.push_back(instance.name_
-                            + " did not end well: " + std::to_string(code.value_or(-1)));
+        errors_.push_back(instance.name_
+                          + " did not exit cleanly; status: " + std::to_string(code.value_or(-1)));
     }
     instance.process_->kill();
     return true;
@@ -274,7 +274,7 @@
         return;
     }
     auto &instance = *fleet_.instances_[number];
-    gone_.erase(toText(instance.entry()));
+    downSince_.erase(toText(instance.entry()));
     pauseCount_[number] = 0;
     disturb(number, 0);
     instance.process_->start();
@@ -284,7 +284,7 @@
 {
     auto &target = *fleet_.targets_[number];
     const std::string before = target.id();
-    target.become("t" + std::to_string(++lastRun_));
+    target.become("t" + std::to_string(++lastIncarnation_));
     registerTarget(number, "ready");
     fleet_.store_.remove("servers", before);
 }
@@ -299,7 +299,7 @@
     leftAt_[fleet_.targets_[number]->id()] = steadyNow();
 }
 
-std::map<std::string, std::vector<SteadyTime>> SoakSite::ends()
+std::map<std::string, std::vector<SteadyTime>> SoakSite::crashTimes()
 {
     std::map<std::string, std::vector<SteadyTime>> all;
     for (const auto &target : fleet_.targets_) {
@@ -329,7 +329,7 @@
             stops_.erase(subject);
         }
         stopInstance(subject);
-        gone_[toText(instance.entry())] = steadyNow();
+        downSince_[toText(instance.entry())] = steadyNow();
         return;
     }
     case InstancePaused:
@@ -380,7 +380,7 @@
         return;
     }
     case RequestEndsTargets:
-        return callers_->beginEnding(endingPath + number);
+        return callers_->beginPoison(poisonPathPrefix + number);
     }
 }
 
@@ -425,7 +425,7 @@
         return;
     }
     case RequestEndsTargets:
-        return callers_->endEnding(endingPath + number);
+        return callers_->endPoison(poisonPathPrefix + number);
     case TargetReplaced:
     case TableEdited:
         return;
--- a/Tests/Soak/SoakSite.h
+++ b/Tests/Soak/SoakSite.h
@@ -10,7 +10,7 @@
 
 namespace Soak {
 
-/// Real instances, with the store and the targets behind a proxy, and what disturbs them.
+/// Runs real instances with the store and the targets behind a proxy, and injects faults.
 class SoakSite
 {
 public:
@@ -20,39 +20,40 @@
     bool start();
     void begin(const Fault &fault);
     void end(const Fault &fault);
-    /// Looks whether instances that were asked to stop have ended, and starts those that are due.
-    /// Called again and again.
+    /// Checks whether stopping instances have exited, and restarts those that are due.
+    /// Must be called periodically.
     void watchStops();
 
     PlatformStandIns::Fleet &fleet() { return fleet_; }
     std::vector<Model::Address> lookups() const;
 
-    /// Since when nothing was done to an instance, to the store, or to either; nothing while
-    /// something is.
+    /// Returns the time since which an instance, or the store, has been undisturbed; std::nullopt
+    /// while a disturbance lasts.
     std::optional<Model::SteadyTime> calmSince(const Model::Address &entry) const;
     std::optional<Model::SteadyTime> storeCalmSince() const;
-    /// The same for the way to a target.
+    /// Returns the same for the connections to a target.
     std::optional<Model::SteadyTime> targetWayCalmSince(std::size_t target) const;
-    /// Since when an instance was killed or stopped; nothing while it runs.
-    std::optional<Model::SteadyTime> goneSince(const std::string &entry) const;
-    /// Tells whether any instance had been gone for longer than \a duration at \a at.
-    bool isAnyGoneFor(Model::Milliseconds duration, Model::SteadyTime at) const;
+    /// Returns when an instance was killed or stopped; std::nullopt while it runs.
+    std::optional<Model::SteadyTime> downSince(const std::string &entry) const;
+    /// Tells whether any instance had been down for longer than \a duration at \a at.
+    bool isAnyDownFor(Model::Milliseconds duration, Model::SteadyTime at) const;
 
-    /// Sets who sends requests under which targets end; \a callers outlive the faults.
+    /// Sets the callers that send poison requests; \a callers must outlive the faults.
     void setCallers(Callers &callers) { callers_ = &callers; }
-    /// The ends of targets under each such request, in order.
-    std::map<std::string, std::vector<Model::SteadyTime>> ends();
+    /// Returns the times of target crashes caused by each poison request, in order.
+    std::map<std::string, std::vector<Model::SteadyTime>> crashTimes();
 
-    /// When the store took it that a run of a target leaves, by the run's id.
+    /// Returns when the store recorded the leave of a target's incarnation, by the incarnation's
+    /// id.
     const std::map<std::string, Model::SteadyTime> &leftAt() const { return leftAt_; }
-    /// The newest route that was added, and when the store took it.
+    /// Returns the newest added route, and when the store recorded it.
     const std::string &newestRoute() const { return newestRoute_; }
     Model::SteadyTime editedAt() const { return editedAt_; }
-    /// What went wrong while faults were applied: a planned stop that did not end well.
-    std::vector<std::string> takeMistakes() { return std::exchange(mistakes_, {}); }
+    /// Returns and clears the errors while injecting faults, such as a planned stop that failed.
+    std::vector<std::string> takeErrors() { return std::exchange(errors_, {}); }
 
 private:
-    /// How many disturbances there are, and when the last one ended.
+    /// The number of active disturbances, and when the last one ended.
     struct Disturbance
     {
         int count_ = 0;
@@ -69,11 +70,11 @@
     void setStoreFaults(const PlatformStandIns::StoreFaults &faults, int change);
     static void disturb(Disturbance &disturbance, int change);
     void disturb(std::size_t instance, int change);
-    /// A planned stop that has not ended.
+    /// A planned stop in progress.
     struct Stop
     {
-        Model::SteadyTime askedAt_;
-        /// It is to be started again.
+        Model::SteadyTime requestedAt_;
+        /// The instance is started again after the stop.
         bool mustStart_ = false;
     };
 
@@ -90,9 +91,9 @@
     std::map<std::size_t, Disturbance> instances_;
     Disturbance store_;
     std::map<std::size_t, Disturbance> targetWays_;
-    /// Instances that are down, by entry.
-    std::map<std::string, Model::SteadyTime> gone_;
-    /// Faults of one instance that overlap: it comes back with the last of them.
+    /// Times at which the stopped instances went down, by entry.
+    std::map<std::string, Model::SteadyTime> downSince_;
+    /// Overlapping faults of one instance; it restarts or resumes when the last of them ends.
     std::map<std::size_t, int> downCount_;
     std::map<std::size_t, int> pauseCount_;
     std::map<std::size_t, Stop> stops_;
@@ -103,8 +104,8 @@
     Model::SteadyTime editedAt_ = Model::longAgo;
     Callers *callers_ = nullptr;
     int version_ = 1;
-    int lastRun_ = 0;
-    std::vector<std::string> mistakes_;
+    int lastIncarnation_ = 0;
+    std::vector<std::string> errors_;
 };
 
 } // namespace Soak
--- a/Tests/Soak/TestLeaves.cpp
+++ b/Tests/Soak/TestLeaves.cpp
@@ -9,15 +9,15 @@
 using Soak::Fault;
 using Soak::FaultKind;
 
-/// After this a leave is in force at every instance to which nothing was done for a while.
-constexpr Milliseconds knownWithin{2500};
-constexpr Milliseconds calmBefore{4000};
-/// Instances gather news of targets for so long before they ask the store again.
-constexpr Milliseconds gathered{600};
+/// A leave must be in force within this time at every undisturbed instance.
+constexpr Milliseconds propagationLimit{2500};
+constexpr Milliseconds requiredCalm{4000};
+/// Instances batch target updates for this long before they query the store again.
+constexpr Milliseconds batchTime{600};
 constexpr Milliseconds freezeTime{100};
 
-/// Eight instances, two in each failure domain. Two of one domain that does not hold its region's
-/// first reader: calls of these wait for news longest.
+/// Eight instances, two in each failure domain. The two below share a domain without its region's
+/// first store reader; their store calls wait longest for updates.
 constexpr std::size_t instances = 8;
 constexpr std::size_t hanging = 2;
 constexpr std::size_t partner = 6;
@@ -30,24 +30,24 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    /// A site one of whose instances waits for the store on a connection that carries nothing any
-    /// more, and to which nothing was done for long enough since.
+    /// Starts a site with one instance whose store call hangs on a frozen connection, then waits
+    /// for the required calm.
     static void startHanging(Soak::SoakSite &site)
     {
         CPPUNIT_ASSERT(site.start());
-        Harness::pause(calmBefore);
-        // News of a target makes all calls begin at the same time.
+        Harness::pause(requiredCalm);
+        // A target update makes all store calls start at the same time.
         site.begin({FaultKind::TargetReplaced, {}, {}, instances - 1, 0});
-        Harness::pause(gathered);
+        Harness::pause(batchTime);
         const Fault frozen{FaultKind::StoreWay, {}, {}, hanging, 0};
         site.begin(frozen);
         Harness::pause(freezeTime);
         site.end(frozen);
-        Harness::pause(calmBefore);
+        Harness::pause(requiredCalm);
     }
 
-    /// Sends through the hanging instance for a while; returns what reached a target that had left
-    /// too long before.
+    /// Sends requests through the hanging instance for \a duration; returns those that reached a
+    /// target after its leave had to be in force.
     static std::string lateArrivals(Soak::SoakSite &site, Milliseconds duration)
     {
         auto &fleet = site.fleet();
@@ -59,7 +59,7 @@
         for (auto &target : fleet.targets_) {
             for (const auto &arrival : target->takeArrivals()) {
                 const auto left = site.leftAt().find(arrival.run_);
-                if (left == site.leftAt().end() || arrival.at_ <= left->second + knownWithin)
+                if (left == site.leftAt().end() || arrival.at_ <= left->second + propagationLimit)
                     continue;
                 const auto after
                     = std::chrono::duration_cast<Milliseconds>(arrival.at_ - left->second);
@@ -69,7 +69,7 @@
         return late;
     }
 
-    /// Lets targets leave, and then pauses the peer that is asked first by the hanging instance.
+    /// Lets targets leave, then pauses the peer that the hanging instance queries first.
     static void assertLeaveIsInForce(std::size_t targets, std::size_t variant)
     {
         Soak::PlanSize size;
@@ -78,22 +78,23 @@
         startHanging(site);
         for (std::size_t target = 0; target < targets; ++target)
             site.begin({FaultKind::TargetLeaves, {}, {}, target, variant});
-        Harness::pause(gathered);
+        Harness::pause(batchTime);
         const Fault paused{FaultKind::InstancePaused, {}, {}, partner, 0};
         site.begin(paused);
-        const std::string late = lateArrivals(site, knownWithin + Milliseconds(1000));
+        const std::string late = lateArrivals(site, propagationLimit + Milliseconds(1000));
         site.end(paused);
         CPPUNIT_ASSERT_MESSAGE(site.fleet().directory() + late, late.empty());
     }
 
-    // Guards against time limits in series: a call that hangs, and then a peer that stops answering
-    // after it has told that it knows more.
+    // Guards against consecutive timeouts: a store call hangs, then a peer stops answering after it
+    // has reported a newer revision.
     void leaveIsInForceWhereTheStoreCallHangsAndThePeerThatKnowsStops()
     {
         assertLeaveIsInForce(1, 1);
     }
 
-    // Guards against a grace for lapsed registrations that begins only when late news has come.
+    // Guards against a grace period of expired registrations that starts only when a delayed update
+    // arrives.
     void targetsThatLeaveTogetherGetNothingInTimeWhereTheStoreCallHangs()
     {
         assertLeaveIsInForce(3, 0);
--- a/Tests/Soak/TestSoak.cpp
+++ b/Tests/Soak/TestSoak.cpp
@@ -28,18 +28,17 @@
 
     void promisesAreKeptUnderASeriesOfFaults() { assertKept(3, false); }
 
-    // Symptom: c19-58 was told that it has not run, and it has.
-    // Sequence: one target cuts its answer short, the second one refuses.
-    // Cause: telling the outcome of the last attempt for that of all.
+    // Guards against a request reported as not run although it has run: one target truncates its
+    // answer, a second one refuses, and only the outcome of the last attempt is reported.
     void refusalAfterALostAnswerIsTrue() { assertKept(1, false); }
 
-    // Guards against requests under which targets end while instances and targets come and go.
+    // Guards against poison requests reaching targets while instances and targets come and go.
     void requestsThatEndTargetsAreKeptFromThemAmongOtherFaults() { assertKept(5, true); }
 
-    static void assertKept(std::uint64_t seed, bool hasEndingRequests)
+    static void assertKept(std::uint64_t seed, bool hasPoisonRequests)
     {
         Soak::PlanSize size;
-        size.hasEndingRequests_ = hasEndingRequests;
+        size.hasPoisonRequests_ = hasPoisonRequests;
         const auto result = Soak::run(seed, size);
         std::string found = "seed " + std::to_string(seed) + ", logs " + result.directory_;
         for (const auto &broken : result.broken_)
