--- a/Tests/Measure/Example.cpp
+++ b/Tests/Measure/Example.cpp
@@ -26,7 +26,8 @@
     return "[stream " + stream.name_ + "]\nservice = " + stream.service_ + "\ncaller = "
            + stream.callers_ + "\ncallers = 6\nrate = " + std::to_string(stream.rate_)
            + "\norigin = " + stream.region_ + "\nsource = " + site.callerSource(stream.region_)
-           + "\ndelay_ms = " + std::to_string(example.callerDelayMs_) + "\n" + stream.more_ + "\n";
+           + "\ndelay_ms = " + std::to_string(example.callerDelayMs_) + "\n" + stream.extraLines_
+           + "\n";
 }
 
 std::string mixedLoad(const Harness::Site &site, const Example &example)
--- a/Tests/Measure/Example.h
+++ b/Tests/Measure/Example.h
@@ -8,7 +8,7 @@
 /// The mean service time of the targets in the scenarios.
 constexpr double serviceMs = 100;
 
-/// The names of one example and its delays.
+/// Service and caller names, delays and capacities of one example site.
 struct Example
 {
     std::string busy_;
@@ -18,7 +18,7 @@
     std::string keyed_;
     double regionDelayMs_;
     int callerDelayMs_;
-    /// Requests a second that a region's slots of the busy service carry.
+    /// Capacity of the busy service's slots in one region, in requests per second.
     double capacity_;
     int carefulSlots_;
 };
@@ -26,11 +26,11 @@
 /// Returns the names and delays of "koper" or "nakhla". Thread safety: any thread.
 Example exampleOf(const std::string &site);
 
-/// The services whose targets and load a scenario sets up, with the brief's delays between failure
-/// domains and regions. Thread safety: any thread.
+/// Returns the options of a site with the services of \a example and the example's delays between
+/// failure domains and regions. Thread safety: any thread.
 Harness::SiteOptions siteOptions(const std::string &site, const Example &example);
 
-/// One stream of a load's profile.
+/// One stream of a load profile.
 struct Stream
 {
     std::string name_;
@@ -38,14 +38,15 @@
     std::string callers_;
     double rate_ = 1;
     std::string region_;
-    /// Further lines of the profile.
-    std::string more_;
+    /// Additional lines of the profile.
+    std::string extraLines_;
 };
 
-/// Returns the section of a profile. Thread safety: any thread.
+/// Returns the profile section of \a stream. Thread safety: any thread.
 std::string section(const Harness::Site &site, const Example &example, const Stream &stream);
 
-/// Small callers at a few percent, bulk at about a third, keyed requests at half of the capacity.
+/// Returns a profile with small callers at a few percent, bulk at about a third, and keyed requests
+/// at half of the capacity.
 ///
 /// Thread safety: any thread.
 std::string mixedLoad(const Harness::Site &site, const Example &example);
--- a/Tests/Measure/Figures.cpp
+++ b/Tests/Measure/Figures.cpp
@@ -58,7 +58,7 @@
 double watchHeadroom(Site &site, Harness::Process &load, const std::function<void(double)> &onTime)
 {
     const auto start = std::chrono::steady_clock::now();
-    double least = 1;
+    double minHeadroom = 1;
     while (!load.wait(Milliseconds(300))) {
         onTime(Model::inSeconds(std::chrono::steady_clock::now() - start));
         std::map<std::string, std::pair<double, double>> use;
@@ -73,9 +73,9 @@
             slots += static_cast<double>(target.row_.slots_.value());
         }
         for (const auto &[name, pair] : use)
-            least = std::min(least, 1 - pair.first / pair.second);
+            minHeadroom = std::min(minHeadroom, 1 - pair.first / pair.second);
     }
-    return least;
+    return minHeadroom;
 }
 
 double shiftPeak(const std::vector<SampleLine> &samples, const Site &site, double from,
--- a/Tests/Measure/Main.cpp
+++ b/Tests/Measure/Main.cpp
@@ -1,5 +1,5 @@
 // Runs one scenario on a whole example site and prints a line "NAME VALUE UNIT" for each figure.
-// Meta/measure.sh runs it for this version and for the baseline and joins the two.
+// Meta/measure.sh runs it for this version and for the baseline and joins the results.
 
 #include "Scenarios.h"
 
@@ -11,7 +11,8 @@
 DEFINE_string(scenario, "calm",
               "calm, bulk, drain, domain-crash, region-crash, store-outage, rolling, hop, pool, "
               "leaving");
-DEFINE_string(binaries, "", "folder of the product's binaries; default beside this program");
+DEFINE_string(binaries, "",
+              "directory of the product's binaries; default: this program's directory");
 DEFINE_int32(seed, 1, "seed of the load");
 
 int main(int argc, char **argv)
--- a/Tests/Measure/Scenarios.cpp
+++ b/Tests/Measure/Scenarios.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Lets \a action happen once, when \a at seconds have passed.
+/// Returns a function that runs \a action once, after \a at seconds.
 std::function<void(Site &, double)> once(double at, std::function<void(Site &)> action)
 {
     auto isDone = std::make_shared<bool>(false);
@@ -41,7 +41,7 @@
     });
     const Usage after = usageOf(site);
     const auto samples = Harness::readSamples(site.samplesPath("load"));
-    // Figures go to the standard output; why requests were not run helps to find causes.
+    // Figures go to standard output; the reasons of refusals, for diagnosis, to standard error.
     std::cerr << Harness::refusalsOf(samples);
     printCommon(samples, load->log(), example, scenario.seconds_);
     print("headroom_min", headroom, "ratio");
@@ -73,7 +73,7 @@
 {
     Scenario scenario;
     scenario.profile_ = [](const Site &site, const Example &example) {
-        // Twice what a region carries; the other regions are calm.
+        // Twice a region's capacity; the other regions have their normal load.
         const std::string region = site.table().regions().front().id_.value();
         return mixedLoad(site, example)
                + section(site, example,
@@ -102,9 +102,9 @@
     });
     scenario.measure_ = [=](Site &site, const std::vector<SampleLine> &samples) {
         const std::string region = site.table().domains()[domain].region_.value();
-        const auto own = Harness::ofStream(samples, "bulk-" + region);
-        print("shift_peak_of_cap", shiftPeak(own, site, 0, 22), "ratio");
-        // Where nothing moves the same sum shows what the scatter of the counts alone makes of it.
+        const auto shifted = Harness::ofStream(samples, "bulk-" + region);
+        print("shift_peak_of_cap", shiftPeak(shifted, site, 0, 22), "ratio");
+        // Without a shift, the same sum shows the sampling noise of the counts.
         const std::string calm = site.table().regions().back().id_.value();
         const auto still = Harness::ofStream(samples, "bulk-" + calm);
         print("shift_scatter_of_cap", shiftPeak(still, site, 0, 22), "ratio");
@@ -123,7 +123,7 @@
 
 namespace {
 
-/// Kills what runs in a place at once, without a word to anybody.
+/// Kills all processes in the matching failure domains at once, without notice.
 void kill(Site &site, const std::function<bool(const Model::FailureDomain &)> &isHit)
 {
     for (auto &target : site.targets()) {
--- a/Tests/Measure/Scenarios.h
+++ b/Tests/Measure/Scenarios.h
@@ -4,16 +4,16 @@
 
 namespace Measure {
 
-/// The program's flags that every scenario needs.
+/// The command-line options common to all scenarios.
 struct RunOptions
 {
     std::string site_;
-    /// Folder of the product's binaries; empty for those beside this program.
+    /// Directory of the product's binaries; empty for this program's directory.
     std::string binaries_;
     int seed_ = 1;
 };
 
-/// What a scenario does while the load runs, and what it measures besides the common figures.
+/// A scenario: actions during the load, and measurements besides the common figures.
 struct Scenario
 {
     int seconds_ = 14;
@@ -26,26 +26,28 @@
 /// Runs a site under the scenario and prints its figures. Thread safety: one thread at a time.
 void run(const RunOptions &options, const Scenario &scenario);
 
-/// Nothing happens but one edit.
+/// One table edit and no fault.
 Scenario calm();
-/// Bulk of one region at twice what the region carries.
+/// Bulk load of one region at twice the region's capacity.
 Scenario bulkBurst();
-/// One failure domain is drained by the table.
+/// One failure domain is drained by a table edit.
 Scenario drain();
 /// All processes of one failure domain are killed.
 Scenario domainCrash();
 /// All processes of one region are killed.
 Scenario regionCrash();
-/// The platform's store is down.
+/// The platform's store is unavailable.
 Scenario storeOutage();
 /// All instances are replaced in two groups.
 Scenario rolling();
 
-/// One stream straight to the targets and through the system, on loopback without delays.
+/// Measures the latency that the system adds: one stream sent directly to the targets and through
+/// the system, over loopback without delays.
 void measureHop(const RunOptions &options);
-/// Waiting at 85% use against a single queue over the same slots and arrivals.
+/// Compares queueing delays at 85% utilization with a single queue over the same slots and
+/// arrivals.
 void measurePool(const RunOptions &options);
-/// How long a target that begins to leave is still asked, while the platform's list lags.
+/// Measures how long a leaving target still receives requests while the platform's list lags.
 void measureLeaving(const RunOptions &options);
 
 } // namespace Measure
--- a/Tests/Measure/SingleRuns.cpp
+++ b/Tests/Measure/SingleRuns.cpp
@@ -19,10 +19,10 @@
     Site site(options);
     site.start();
     const std::string region = site.table().regions().front().id_.value();
-    Example near = example;
-    near.callerDelayMs_ = 0;
+    Example undelayed = example;
+    undelayed.callerDelayMs_ = 0;
     const std::string profile
-        = section(site, near, {"one", example.busy_, example.small_, 100, region, ""});
+        = section(site, undelayed, {"one", example.busy_, example.small_, 100, region, ""});
     std::string direct;
     for (const auto &target : site.targets()) {
         if (target.row_.service_.value() == example.busy_
@@ -37,8 +37,8 @@
     through->wait(Milliseconds(30000));
     const auto without = Harness::readSamples(site.samplesPath("straight"));
     const auto with = Harness::readSamples(site.samplesPath("through"));
-    for (const auto &[name, part] : {std::pair("hop_p50", 0.5), std::pair("hop_p99", 0.99)})
-        print(name, Harness::latencyMs(with, part) - Harness::latencyMs(without, part), "ms");
+    for (const auto &[name, level] : {std::pair("hop_p50", 0.5), std::pair("hop_p99", 0.99)})
+        print(name, Harness::latencyMs(with, level) - Harness::latencyMs(without, level), "ms");
 }
 
 void measurePool(const RunOptions &run)
@@ -52,11 +52,11 @@
     site.start();
     const std::string region = site.table().regions().front().id_.value();
     const double rate = 0.85 * example.carefulSlots_ * 1000 / serviceMs;
-    Example near = example;
-    near.callerDelayMs_ = 0;
+    Example undelayed = example;
+    undelayed.callerDelayMs_ = 0;
     const auto load = site.loadtool(
         "pool",
-        section(site, near,
+        section(site, undelayed,
                 {"pool", example.careful_, example.keyed_, rate, region, "timeout_ms = 5000\n"}),
         20, run.seed_);
     load->start();
@@ -83,7 +83,7 @@
 void measureLeaving(const RunOptions &run)
 {
     constexpr Milliseconds step(100);
-    constexpr double watched = 8;
+    constexpr double watchSeconds = 8;
     const Example example = exampleOf(run.site_);
     auto options = siteOptions(run.site_, example);
     options.binaries_ = run.binaries_;
@@ -97,16 +97,16 @@
     const std::string id = site.targets().front().row_.id_.value();
     site.switchTarget(id, {{"drain", true}});
     const auto start = std::chrono::steady_clock::now();
-    const auto asked = [&] {
+    const auto requestCount = [&] {
         const auto counts = site.targetCounts(id);
         return counts.value("started", 0) + counts.value("refused", 0);
     };
-    int seen = asked();
+    int seen = requestCount();
     double last = 0;
-    for (double passed = 0; passed < watched;) {
+    for (double passed = 0; passed < watchSeconds;) {
         Harness::pause(step);
         passed = Model::inSeconds(std::chrono::steady_clock::now() - start);
-        const int now = asked();
+        const int now = requestCount();
         if (now != seen)
             last = passed;
         seen = now;
--- a/Tests/Slopes/LargeSite.cpp
+++ b/Tests/Slopes/LargeSite.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr int firstNumber = 0x0A000000;
-constexpr int numbersInBlock = 2048;
+constexpr int firstAddress = 0x0A000000;
+constexpr int addressesPerBlock = 2048;
 constexpr int blockPrefix = 21;
 
 Model::Row row(Model::RowKind kind, const std::string &name,
@@ -55,7 +55,7 @@
     return instance;
 }
 
-/// The loads that an entry reports: each service in the failure domains of its region.
+/// Returns the loads that an entry reports: each service in each failure domain of its region.
 std::vector<Peers::DomainLoad> loadsOf(const FleetSize &size)
 {
     std::vector<Peers::DomainLoad> loads;
@@ -113,25 +113,25 @@
     return rows;
 }
 
-Platform::TableMirror mirrorOf(const FleetSize &size)
+Platform::TableMirror replicaOf(const FleetSize &size)
 {
-    Platform::TableMirror mirror;
-    mirror.version_ = Model::TableVersion(1);
+    Platform::TableMirror replica;
+    replica.version_ = Model::TableVersion(1);
     for (auto &made : rowsOf(size))
-        mirror.rows_[made.key_] = std::move(made);
-    return mirror;
+        replica.rows_[made.key_] = std::move(made);
+    return replica;
 }
 
-Platform::TableMirror changed(Platform::TableMirror mirror, int count)
+Platform::TableMirror changed(Platform::TableMirror replica, int count)
 {
-    mirror.version_ = Model::TableVersion(2);
+    replica.version_ = Model::TableVersion(2);
     int left = count;
-    for (auto &[key, changedRow] : mirror.rows_) {
+    for (auto &[key, changedRow] : replica.rows_) {
         if (left-- <= 0)
             break;
-        changedRow.changedAt_ = mirror.version_;
+        changedRow.changedAt_ = replica.version_;
     }
-    return mirror;
+    return replica;
 }
 
 std::string blocksText(int count, const FleetSize &size)
@@ -139,16 +139,16 @@
     std::string text;
     for (int i = 0; i < count; ++i) {
         const int domain = i % size.domains_;
-        text += hostText(firstNumber + i * numbersInBlock) + "/" + std::to_string(blockPrefix) + " "
-                + regionName(domain % size.regions_) + " " + domainName(domain) + "\n";
+        text += hostText(firstAddress + i * addressesPerBlock) + "/" + std::to_string(blockPrefix)
+                + " " + regionName(domain % size.regions_) + " " + domainName(domain) + "\n";
     }
     return text;
 }
 
 std::string randomHost(std::mt19937 &random, int blocks)
 {
-    std::uniform_int_distribution<int> number(0, blocks * numbersInBlock - 1);
-    return hostText(firstNumber + number(random));
+    std::uniform_int_distribution<int> number(0, blocks * addressesPerBlock - 1);
+    return hostText(firstAddress + number(random));
 }
 
 Peers::GossipState stateOf(const FleetSize &size, int members)
@@ -169,7 +169,7 @@
         }
         Peers::takeIn(state.members_, summary, now);
     }
-    state.table_ = mirrorOf(size);
+    state.table_ = replicaOf(size);
     return state;
 }
 
--- a/Tests/Slopes/Slopes.cpp
+++ b/Tests/Slopes/Slopes.cpp
@@ -1,4 +1,5 @@
-// How the cost of each part grows with the size of the fleet; docs/CAPACITY.md quotes the figures.
+// Measures how the cost of each part grows with the fleet's size; docs/CAPACITY.md quotes the
+// figures.
 
 #include "LargeSite.h"
 
@@ -11,9 +12,9 @@
 
 using Slopes::FleetSize;
 
-constexpr int mostBlocks = 550000;
+constexpr int maxBlocks = 550000;
 constexpr int entriesInRegion = 220;
-constexpr int largestFleet = 3300;
+constexpr int maxFleetMembers = 3300;
 
 const FleetSize &sizeOf(const benchmark::State &state)
 {
@@ -34,7 +35,7 @@
 
 void blocks(benchmark::internal::Benchmark *benchmark)
 {
-    benchmark->ArgName("blocks")->Arg(1000)->Arg(55000)->Arg(mostBlocks);
+    benchmark->ArgName("blocks")->Arg(1000)->Arg(55000)->Arg(maxBlocks);
 }
 
 void members(benchmark::internal::Benchmark *benchmark)
@@ -44,10 +45,10 @@
 
 Model::Table tableOf(const FleetSize &size)
 {
-    return *Platform::buildTable(Slopes::mirrorOf(size));
+    return *Platform::buildTable(Slopes::replicaOf(size));
 }
 
-/// The time of single look-ups, so that the median can be told besides the mean.
+/// Times single look-ups, so that the median is reported besides the mean.
 void findBlock(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
@@ -87,7 +88,7 @@
 }
 BENCHMARK(buildBlocks)->Apply(blocks)->Unit(benchmark::kMillisecond);
 
-/// What a look-up does besides finding the block.
+/// The part of a look-up after finding the block.
 void rankEntries(benchmark::State &state)
 {
     const auto gossip = Slopes::stateOf(Slopes::planned, static_cast<int>(state.range(0)));
@@ -106,20 +107,20 @@
 
 void buildTable(benchmark::State &state)
 {
-    const auto mirror = Slopes::mirrorOf(sizeOf(state));
+    const auto replica = Slopes::replicaOf(sizeOf(state));
     double bytes = 0;
     for (auto _ : state) {
         const double before = Slopes::allocatedBytes();
-        const auto table = Platform::buildTable(mirror);
+        const auto table = Platform::buildTable(replica);
         bytes = Slopes::allocatedBytes() - before;
         benchmark::DoNotOptimize(table);
     }
-    state.counters["rows"] = static_cast<double>(mirror.rows_.size());
+    state.counters["rows"] = static_cast<double>(replica.rows_.size());
     state.counters["held_bytes"] = bytes;
 }
 BENCHMARK(buildTable)->Apply(sites)->Unit(benchmark::kMicrosecond);
 
-/// The shares of every service and origin, as an entry plans them in each step.
+/// Plans the shares of every service and origin, as an entry does in each ramp step.
 void planShares(benchmark::State &state)
 {
     const auto table = tableOf(sizeOf(state));
@@ -136,11 +137,11 @@
 }
 BENCHMARK(planShares)->Apply(sites)->Unit(benchmark::kMicrosecond);
 
-/// The whole table to the processes of an instance, there and back.
+/// Serializes and applies a snapshot of the whole table for an instance's processes.
 void applySnapshot(benchmark::State &state)
 {
-    const auto mirror = Slopes::mirrorOf(sizeOf(state));
-    const auto whole = Platform::deltaSince(mirror, Model::TableVersion(0));
+    const auto replica = Slopes::replicaOf(sizeOf(state));
+    const auto whole = Platform::deltaSince(replica, Model::TableVersion(0));
     std::size_t bytes = 0;
     for (auto _ : state) {
         const std::string wire = Peers::toMessage(whole).SerializeAsString();
@@ -155,7 +156,7 @@
 }
 BENCHMARK(applySnapshot)->Apply(sites)->Unit(benchmark::kMicrosecond);
 
-/// One exchange between two instances of a region that know the same but for the heartbeats.
+/// One exchange between two instances of a region whose states differ in heartbeats only.
 void gossipExchange(benchmark::State &state)
 {
     const auto count = static_cast<int>(state.range(0));
@@ -164,7 +165,7 @@
     asked.self_.instance_.id_ = Model::InstanceId("instance-1");
     std::size_t bytes = 0;
     for (auto _ : state) {
-        // Half of the records were renewed since.
+        // Half of the records have a newer heartbeat.
         int number = 0;
         for (auto &[id, member] : asked.members_.members_)
             member.record_.heartbeat_ += static_cast<std::uint64_t>(number++ % 2);
@@ -177,7 +178,8 @@
 }
 BENCHMARK(gossipExchange)->Apply(members)->Unit(benchmark::kMicrosecond);
 
-/// An exchange with another region: the table's version, the summaries and the two themselves.
+/// An exchange with another region: the table's version, the summaries and the two members'
+/// records.
 void gossipAcrossRegions(benchmark::State &state)
 {
     auto asker = Slopes::stateOf(sizeOf(state), 4);
@@ -196,31 +198,31 @@
 }
 BENCHMARK(gossipAcrossRegions)->Apply(sites)->Unit(benchmark::kMicrosecond);
 
-/// What a table edit costs on the wire: the changed rows, against the whole table.
+/// Bytes on the wire of a table edit: the changed rows, compared with the whole table.
 void deltaBytes(benchmark::State &state)
 {
-    const auto mirror
-        = Slopes::changed(Slopes::mirrorOf(Slopes::planned), static_cast<int>(state.range(0)));
+    const auto replica
+        = Slopes::changed(Slopes::replicaOf(Slopes::planned), static_cast<int>(state.range(0)));
     std::size_t bytes = 0;
     for (auto _ : state) {
-        const auto delta = Platform::deltaSince(mirror, Model::TableVersion(1));
+        const auto delta = Platform::deltaSince(replica, Model::TableVersion(1));
         bytes = Peers::toMessage(delta).ByteSizeLong();
     }
-    const auto whole = Platform::deltaSince(mirror, Model::TableVersion(0));
+    const auto whole = Platform::deltaSince(replica, Model::TableVersion(0));
     state.counters["bytes"] = static_cast<double>(bytes);
     state.counters["whole_bytes"] = static_cast<double>(Peers::toMessage(whole).ByteSizeLong());
 }
 BENCHMARK(deltaBytes)->ArgName("rows")->Arg(1)->Arg(10)->Arg(100)->Unit(benchmark::kMicrosecond);
 
-/// Rounds until each member has heard of a new version, when each asks one member of its region and
-/// one of anywhere in a round and a tenth of the exchanges is lost. The choice is the real one; the
-/// exchange is reduced to whether the asked member knew.
+/// Rounds until each member has a new version, where each queries one member of its region and one
+/// of any region per round and 10% of the exchanges are lost. Peer selection is the real one; an
+/// exchange is reduced to whether the queried member has the version.
 void roundsToAll(benchmark::State &state)
 {
     constexpr std::size_t inRegion = entriesInRegion;
     const auto count = static_cast<std::size_t>(state.range(0));
     std::mt19937_64 random(1);
-    int most = 0;
+    int maxRounds = 0;
     double sum = 0;
     int runs = 0;
     for (auto _ : state) {
@@ -232,9 +234,9 @@
             std::vector<char> next = knows;
             for (std::size_t i = 0; i < count; ++i) {
                 const std::size_t first = i / inRegion * inRegion;
-                const std::size_t near = std::min(inRegion, count - first);
+                const std::size_t regionMembers = std::min(inRegion, count - first);
                 const std::size_t asked[] = {
-                    first + Policy::choosePeers(near, 1, {random()}).front(),
+                    first + Policy::choosePeers(regionMembers, 1, {random()}).front(),
                     Policy::choosePeers(count, 1, {random()}).front(),
                 };
                 for (const std::size_t other : asked) {
@@ -244,33 +246,34 @@
             }
             knows = std::move(next);
         }
-        most = std::max(most, rounds);
+        maxRounds = std::max(maxRounds, rounds);
         sum += rounds;
         ++runs;
     }
     state.counters["rounds_mean"] = sum / runs;
-    state.counters["rounds_most"] = most;
+    state.counters["rounds_most"] = maxRounds;
 }
 BENCHMARK(roundsToAll)
     ->ArgName("members")
     ->Arg(12)
     ->Arg(220)
-    ->Arg(largestFleet)
+    ->Arg(maxFleetMembers)
     ->Iterations(30)
     ->Unit(benchmark::kMillisecond);
 
-/// A book with as many ended runs as \a runs, each with other suspects, and a few verdicts.
-Policy::CrashBook crashBookOf(std::size_t runs)
+/// Returns crash records of \a runs crashed incarnations, each with different suspects, and a few
+/// quarantine decisions.
+Policy::CrashBook crashRecordsOf(std::size_t runs)
 {
-    Policy::CrashBook book;
+    Policy::CrashBook crashRecords;
     const Model::SteadyTime now{std::chrono::hours(1)};
     for (std::uint64_t i = 0; i < runs; ++i) {
-        std::vector<Policy::RequestPrint> prints;
+        std::vector<Policy::RequestPrint> fingerprints;
         for (std::uint32_t j = 1; j <= Policy::mostSuspects; ++j)
-            prints.push_back({Policy::ownerScore(i, j), j});
-        Policy::noteEnded(book, Policy::RunKey(i), prints, now);
+            fingerprints.push_back({Policy::ownerScore(i, j), j});
+        Policy::noteEnded(crashRecords, Policy::RunKey(i), fingerprints, now);
     }
-    return book;
+    return crashRecords;
 }
 
 void crashRuns(benchmark::internal::Benchmark *benchmark)
@@ -278,18 +281,18 @@
     benchmark->ArgName("runs")->Arg(1)->Arg(16)->Arg(Policy::mostRuns);
 }
 
-/// What a request that has nothing to do with ends of targets pays while some are remembered.
+/// The cost of checking a request that is no suspect while crashes are on record.
 void checkRequest(benchmark::State &state)
 {
     const Model::SteadyTime now{std::chrono::hours(1)};
-    const auto view = Policy::viewOf(crashBookOf(static_cast<std::size_t>(state.range(0))), now);
+    const auto view = Policy::viewOf(crashRecordsOf(static_cast<std::size_t>(state.range(0))), now);
     const Policy::RequestText text{"GET", "host.example", "/gauging/tank/7?unit=m3", "", "pilot-1"};
     for (auto _ : state)
         benchmark::DoNotOptimize(view.mayHold(Policy::headOf(text)));
 }
 BENCHMARK(checkRequest)->Apply(crashRuns);
 
-/// What a request pays whose head is that of a suspect: its body is hashed too.
+/// The cost for a request whose fingerprint prefix matches a suspect: its body is hashed too.
 void printRequest(benchmark::State &state)
 {
     const std::string body(static_cast<std::size_t>(state.range(0)), 'x');
@@ -299,26 +302,27 @@
 }
 BENCHMARK(printRequest)->ArgName("body_bytes")->Arg(0)->Arg(1024)->Arg(1024 * 1024);
 
-/// What an instance does ten times a second while ends of targets come in.
+/// The evaluation that an instance runs ten times a second while crash reports arrive.
 void judgeCrashes(benchmark::State &state)
 {
-    auto book = crashBookOf(static_cast<std::size_t>(state.range(0)));
+    auto crashRecords = crashRecordsOf(static_cast<std::size_t>(state.range(0)));
     const Model::SteadyTime now{std::chrono::hours(1)};
     for (auto _ : state) {
-        benchmark::DoNotOptimize(Policy::judge(book, now));
-        benchmark::DoNotOptimize(Policy::viewOf(book, now));
+        benchmark::DoNotOptimize(Policy::judge(crashRecords, now));
+        benchmark::DoNotOptimize(Policy::viewOf(crashRecords, now));
     }
 }
 BENCHMARK(judgeCrashes)->Apply(crashRuns)->Unit(benchmark::kMicrosecond);
 
-/// What one message between instances carries of them.
+/// The crash records in one message between instances.
 void tellCrashes(benchmark::State &state)
 {
-    const auto book = crashBookOf(static_cast<std::size_t>(state.range(0)));
+    const auto crashRecords = crashRecordsOf(static_cast<std::size_t>(state.range(0)));
     const Model::SteadyTime now{std::chrono::hours(1)};
     std::size_t bytes = 0;
     for (auto _ : state) {
-        const auto message = Peers::toMessage(Policy::newsOf(book, now)).SerializeAsString();
+        const auto message
+            = Peers::toMessage(Policy::newsOf(crashRecords, now)).SerializeAsString();
         bytes = message.size();
         benchmark::DoNotOptimize(message);
     }
--- a/Tests/Soak/Main.cpp
+++ b/Tests/Soak/Main.cpp
@@ -50,7 +50,7 @@
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_seconds * 1000 < Soak::shortestLength.count() || FLAGS_instances < 2
         || FLAGS_targets < 4) {
-        std::cerr << "a run takes at least " << Soak::shortestLength.count() / 1000
+        std::cerr << "a run needs at least " << Soak::shortestLength.count() / 1000
                   << " seconds, two instances and four targets\n";
         return 2;
     }
--- a/Tests/Soak/Promises.cpp
+++ b/Tests/Soak/Promises.cpp
@@ -210,8 +210,8 @@
         if (site_.isAnyDownFor(staleLookupLimit, named.at_))
             judge(Promise::LookupsOmitStoppedInstances);
         for (const auto &entry : named.entries_) {
-            const auto gone = site_.downSince(entry);
-            if (gone && named.at_ > *gone + staleLookupLimit)
+            const auto downAt = site_.downSince(entry);
+            if (downAt && named.at_ > *downAt + staleLookupLimit)
                 reportBroken(Promise::LookupsOmitStoppedInstances, entry + " by " + toText(by));
         }
     }
