--- a/Libraries/LibPlatform/ClaimBatcher.cpp
+++ b/Libraries/LibPlatform/ClaimBatcher.cpp
@@ -138,7 +138,7 @@
             result.verdict_ = Policy::ClaimVerdict::Unknown;
             co_return result;
         }
-        result.verdict_ = Policy::judgeClaim(*found, claim.holder_, claim.requestHash_);
+        result.verdict_ = Policy::evaluateClaim(*found, claim.holder_, claim.requestHash_);
         result.claim_ = *found;
         result.revision_ = row.revision_;
     }
--- a/Libraries/LibPolicy/Admission.cpp
+++ b/Libraries/LibPolicy/Admission.cpp
@@ -45,11 +45,11 @@
     return static_cast<std::size_t>(std::max(1.0, almostCertain));
 }
 
-Model::Milliseconds comeBackAfter(const DrainRate &rate, std::size_t waiting)
+Model::Milliseconds queueRetryDelay(const DrainRate &rate, std::size_t waiting)
 {
     const double seconds = rate.perSecond_ > 0 ? static_cast<double>(waiting) / rate.perSecond_ : 0;
     const Model::Milliseconds expected(static_cast<long long>(seconds * 1000));
-    return std::clamp(expected, leastComeBack, longestComeBack);
+    return std::clamp(expected, minRetryAfter, maxRetryAfter);
 }
 
 bool canFinish(Model::Milliseconds remaining, Model::Microseconds usualLatency)
@@ -57,7 +57,7 @@
     return remaining.count() > 0 && remaining > usualLatency;
 }
 
-Model::RequestsPerSecond limitPart(Model::RequestsPerSecond limit, std::size_t holders)
+Model::RequestsPerSecond limitPerHolder(Model::RequestsPerSecond limit, std::size_t holders)
 {
     return Model::RequestsPerSecond(limit.value()
                                     / static_cast<double>(std::max<std::size_t>(1, holders)));
--- a/Libraries/LibPolicy/Admission.h
+++ b/Libraries/LibPolicy/Admission.h
@@ -39,11 +39,11 @@
 /// Returns after which delay a caller that is refused for lack of capacity should retry.
 ///
 /// Thread safety: any thread.
-Model::Milliseconds comeBackAfter(const DrainRate &rate, std::size_t waiting);
+Model::Milliseconds queueRetryDelay(const DrainRate &rate, std::size_t waiting);
 
 /// Smallest retry delay returned to callers, so that refused callers do not retry in a tight loop.
-constexpr Model::Milliseconds leastComeBack{100};
-constexpr Model::Milliseconds longestComeBack{10000};
+constexpr Model::Milliseconds minRetryAfter{100};
+constexpr Model::Milliseconds maxRetryAfter{10000};
 
 /// Returns whether a target with \a usualLatency can finish a request within its \a remaining time.
 /// Thread safety: any thread.
@@ -61,7 +61,7 @@
 /// Without the division, every entry applies the whole limit and the fleet exceeds it by a factor
 /// of the number of entries. Dividing by the largest known number of holders keeps the sum at or
 /// below the limit without any message. Thread safety: any thread.
-Model::RequestsPerSecond limitPart(Model::RequestsPerSecond limit, std::size_t holders);
+Model::RequestsPerSecond limitPerHolder(Model::RequestsPerSecond limit, std::size_t holders);
 
 /// Takes one token if available. Always succeeds if \a limit is zero. Thread safety: \a bucket
 /// belongs to the calling thread.
--- a/Libraries/LibPolicy/Claims.h
+++ b/Libraries/LibPolicy/Claims.h
@@ -52,7 +52,7 @@
 /// Without the claim, a caller that got no answer repeats its request through another entry while
 /// the first one is still in progress, and a release order runs twice. A claim never expires by
 /// time, because its holder may only be paused. Thread safety: any thread.
-ClaimVerdict judgeClaim(const Claim &found, const std::string &ownHolder,
+ClaimVerdict evaluateClaim(const Claim &found, const std::string &ownHolder,
                         std::uint64_t requestHash);
 
 /// Returns the text in which the store keeps a claim. claimFromText() parses it; for any other text
--- a/Libraries/LibPolicy/LoadUpdate.cpp
+++ b/Libraries/LibPolicy/LoadUpdate.cpp
@@ -7,38 +7,38 @@
 void learnLoad(SharedLoad &load, double inProgress, Model::Slots slots,
                Model::SteadyTime reportedAt)
 {
-    if (reportedAt < load.saidAt_)
+    if (reportedAt < load.reportedAt_)
         return;
-    const bool wasSilent = reportedAt - load.saidAt_ >= loadReportLifetime;
+    const bool wasSilent = reportedAt - load.reportedAt_ >= loadReportLifetime;
     if (inProgress < static_cast<double>(slots.value())) {
         load.fullSince_.reset();
     } else if (!load.fullSince_ || wasSilent) {
         load.fullSince_ = reportedAt;
     }
     load.inProgress_ = inProgress;
-    load.saidAt_ = reportedAt;
+    load.reportedAt_ = reportedAt;
 }
 
-bool isLastinglyFull(const SharedLoad &load, Model::SteadyTime now)
+bool isPersistentlyFull(const SharedLoad &load, Model::SteadyTime now)
 {
-    const bool isFresh = now - load.saidAt_ < loadReportLifetime;
+    const bool isFresh = now - load.reportedAt_ < loadReportLifetime;
     return isFresh && load.fullSince_ && now - *load.fullSince_ >= persistentFullnessPeriod;
 }
 
-bool isLoadNews(const SharedLoad &load, Model::Slots slots, Model::SteadyTime now)
+bool shouldSendLoad(const SharedLoad &load, Model::Slots slots, Model::SteadyTime now)
 {
-    return now - load.saidAt_ < loadReportLifetime
+    return now - load.reportedAt_ < loadReportLifetime
            && load.inProgress_ >= static_cast<double>(slots.value());
 }
 
-double othersByNews(const SharedLoad &load, double own, Model::SteadyTime now)
+double peerLoadByUpdates(const SharedLoad &load, double own, Model::SteadyTime now)
 {
-    if (now - load.saidAt_ >= loadReportLifetime)
+    if (now - load.reportedAt_ >= loadReportLifetime)
         return 0;
     return std::max(0.0, load.inProgress_ - own);
 }
 
-void keepLatest(std::vector<TargetLoad> &loads)
+void keepLatestLoads(std::vector<TargetLoad> &loads)
 {
     if (loads.size() <= maxLoadsPerMessage)
         return;
--- a/Libraries/LibPolicy/LoadUpdate.h
+++ b/Libraries/LibPolicy/LoadUpdate.h
@@ -24,7 +24,7 @@
 {
     /// Requests of all instances that the target processes or queues.
     double inProgress_ = 0;
-    Model::SteadyTime saidAt_ = Model::longAgo;
+    Model::SteadyTime reportedAt_ = Model::longAgo;
     /// Start of the period in which every report had all slots occupied.
     std::optional<Model::SteadyTime> fullSince_;
 };
@@ -46,7 +46,7 @@
 
 /// Returns whether every report for at least this duration had the target full. Thread safety: any
 /// thread.
-bool isLastinglyFull(const SharedLoad &load, Model::SteadyTime now);
+bool isPersistentlyFull(const SharedLoad &load, Model::SteadyTime now);
 
 /// Returns whether \a load should be sent to other instances: a recent report had all \a slots
 /// occupied.
@@ -55,13 +55,13 @@
 /// seconds and considers it idle in between. The owners of the most requested objects are full all
 /// the time, each request waits there for longer than it takes to process, and the secondary owners
 /// stay idle. Thread safety: any thread.
-bool isLoadNews(const SharedLoad &load, Model::Slots slots, Model::SteadyTime now);
+bool shouldSendLoad(const SharedLoad &load, Model::Slots slots, Model::SteadyTime now);
 
 /// Returns how many requests other instances have in progress at the target by the latest report,
 /// of which \a own are this instance's; 0 if the report is too old. Thread safety: any thread.
-double othersByNews(const SharedLoad &load, double own, Model::SteadyTime now);
+double peerLoadByUpdates(const SharedLoad &load, double own, Model::SteadyTime now);
 
 /// Keeps the most recently reported \a loads that fit into one message. Thread safety: any thread.
-void keepLatest(std::vector<TargetLoad> &loads);
+void keepLatestLoads(std::vector<TargetLoad> &loads);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/OthersLoad.cpp
+++ b/Libraries/LibPolicy/OthersLoad.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 /// A report older than this is stale, whatever the work time.
-constexpr Model::Microseconds longestFresh{500000};
+constexpr Model::Microseconds maxReportAge{500000};
 
-double averageAt(const OthersLoad &load, Model::SteadyTime now)
+double averageAt(const PeerReportedLoad &load, Model::SteadyTime now)
 {
     const double halves
         = Model::inSeconds(now - load.reportedAt_) / Model::inSeconds(averageLoadHalfLife);
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void learnOthersLoad(OthersLoad &load, double others, Model::SteadyTime now)
+void learnPeerReportedLoad(PeerReportedLoad &load, double others, Model::SteadyTime now)
 {
     const double average = averageAt(load, now);
     load.latest_ = others;
@@ -27,7 +27,7 @@
     load.reportedAt_ = now;
 }
 
-double othersLoadAt(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
+double peerReportedLoadAt(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
 {
     const double average = averageAt(load, now);
     const double ages
@@ -38,9 +38,9 @@
     return average + (load.latest_ - average) * kept;
 }
 
-double freshOthersLoad(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
+double freshPeerReportedLoad(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
 {
-    return now - load.reportedAt_ < std::min(workTime, longestFresh) ? load.latest_ : 0;
+    return now - load.reportedAt_ < std::min(workTime, maxReportAge) ? load.latest_ : 0;
 }
 
 } // namespace Policy
--- a/Libraries/LibPolicy/OthersLoad.h
+++ b/Libraries/LibPolicy/OthersLoad.h
@@ -6,7 +6,7 @@
 
 /// The number of requests of other entries that a target has in progress, by its own reports. Not
 /// shared between threads.
-struct OthersLoad
+struct PeerReportedLoad
 {
     double latest_ = 0;
     /// Exponential moving average of the reports.
@@ -23,7 +23,7 @@
 
 /// Records that a target reported \a others requests in progress that are not this entry's. Thread
 /// safety: \a load belongs to the calling thread.
-void learnOthersLoad(OthersLoad &load, double others, Model::SteadyTime now);
+void learnPeerReportedLoad(PeerReportedLoad &load, double others, Model::SteadyTime now);
 
 /// Returns the estimated number of requests of other entries in progress at \a now: the latest
 /// report, which decays towards the average once it is older than \a workTime, the time that the
@@ -32,13 +32,13 @@
 /// If an old report counted for nothing, an entry that receives a report once in a second or two
 /// would consider the target idle in between, and send to one with a queue while others have free
 /// slots. Thread safety: any thread.
-double othersLoadAt(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
+double peerReportedLoadAt(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
 
 /// Returns the number of requests of other entries in progress by a report that is no older than
 /// \a workTime, else 0.
 ///
 /// Used to choose among targets: a wait that may be over does not justify a cold load on another
 /// target. Thread safety: any thread.
-double freshOthersLoad(const OthersLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
+double freshPeerReportedLoad(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Outcome.cpp
+++ b/Libraries/LibPolicy/Outcome.cpp
@@ -33,10 +33,10 @@
 
 void earnRetryCredit(RetryBudget &budget, const RetryTerms &terms)
 {
-    budget.credit_ = std::min(terms.largest_, budget.credit_ + terms.share_);
+    budget.credit_ = std::min(terms.maxCredit_, budget.credit_ + terms.share_);
 }
 
-bool holdRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts)
+bool reserveRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts)
 {
     if (!isIdempotent || attempts >= maxAttemptsPerRequest || budget.credit_ < 1)
         return false;
@@ -44,7 +44,7 @@
     return true;
 }
 
-void giveBackRetryCredit(RetryBudget &budget)
+void releaseRetryCredit(RetryBudget &budget)
 {
     // No upper bound: the credit is spent before any other is earned or reserved.
     budget.credit_ += 1;
--- a/Libraries/LibPolicy/Outcome.h
+++ b/Libraries/LibPolicy/Outcome.h
@@ -47,7 +47,7 @@
 struct RetryTerms
 {
     double share_ = retryShare;
-    double largest_ = maxRetryCredit;
+    double maxCredit_ = maxRetryCredit;
 };
 
 /// Earns credit for one arriving request. Thread safety: \a budget belongs to the calling thread.
@@ -59,11 +59,11 @@
 /// Without the reservation, an attempt is cut short to leave time for another one, other requests
 /// spend the credit meanwhile, and the request ends as unknown long before its deadline. Thread
 /// safety: as above.
-bool holdRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts);
+bool reserveRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts);
 
-/// Returns the credit that holdRetryCredit() reserved; mayRetry() then takes it if needed. Thread
+/// Returns the credit that reserveRetryCredit() reserved; mayRetry() then takes it if needed. Thread
 /// safety: as above.
-void giveBackRetryCredit(RetryBudget &budget);
+void releaseRetryCredit(RetryBudget &budget);
 
 /// Returns whether a request that got \a outcome on its attempt number \a attempts may be retried,
 /// and if so takes the credit.
--- a/Libraries/LibPolicy/RequestAdmission.cpp
+++ b/Libraries/LibPolicy/RequestAdmission.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-AdmissionVerdict judgeAdmission(const AdmissionCase &request, Model::Milliseconds latencyGoal)
+AdmissionVerdict evaluateAdmission(const AdmissionInputs &request, Model::Milliseconds latencyGoal)
 {
     if (request.expected_ > request.left_)
         return AdmissionVerdict::TooLate;
@@ -24,7 +24,7 @@
     return goals > allowed ? AdmissionVerdict::NoRoom : AdmissionVerdict::Take;
 }
 
-Model::Milliseconds returnAfter(Model::Microseconds expected, Model::Milliseconds latencyGoal,
+Model::Milliseconds refusalRetryDelay(Model::Microseconds expected, Model::Milliseconds latencyGoal,
                                 double draw)
 {
     const auto excess = std::chrono::duration_cast<Model::Milliseconds>(expected) - latencyGoal;
--- a/Libraries/LibPolicy/RequestAdmission.h
+++ b/Libraries/LibPolicy/RequestAdmission.h
@@ -5,7 +5,7 @@
 namespace Policy {
 
 /// The inputs of the admission decision for one request.
-struct AdmissionCase
+struct AdmissionInputs
 {
     /// Expected time until the answer.
     Model::Microseconds expected_{0};
@@ -27,12 +27,12 @@
 /// Without it, under overload every request waits its whole time, none is in time, and the slots
 /// are spent on answers that are no longer needed. A caller that is refused at once can retry while
 /// there is time. Thread safety: any thread.
-AdmissionVerdict judgeAdmission(const AdmissionCase &request, Model::Milliseconds latencyGoal);
+AdmissionVerdict evaluateAdmission(const AdmissionInputs &request, Model::Milliseconds latencyGoal);
 
 /// Returns after which delay a refused caller should retry. The delay grows with the expected wait
 /// and is spread by \a draw (0 to below 1), so that callers refused together do not retry together.
 /// Thread safety: any thread.
-Model::Milliseconds returnAfter(Model::Microseconds expected, Model::Milliseconds latencyGoal,
+Model::Milliseconds refusalRetryDelay(Model::Microseconds expected, Model::Milliseconds latencyGoal,
                                 double draw);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/SlowStart.cpp
+++ b/Libraries/LibPolicy/SlowStart.cpp
@@ -10,23 +10,23 @@
 
 constexpr double maxSavedTokens = 1;
 
-double tokensAt(const ColdRamp &ramp, Model::RequestsPerSecond limit, std::size_t holders,
+double tokensAt(const SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
                 Model::SteadyTime now)
 {
-    const double rate = limitPart(limit, holders).value();
+    const double rate = limitPerHolder(limit, holders).value();
     const double earned = std::max(0.0, Model::inSeconds(now - ramp.filledAt_)) * rate;
     return std::min(maxSavedTokens, ramp.tokens_ + earned);
 }
 
 } // namespace
 
-void startRamp(ColdRamp &ramp, Model::SteadyTime now)
+void beginSlowStart(SlowStart &ramp, Model::SteadyTime now)
 {
     ramp.tokens_ = 0;
     ramp.filledAt_ = now;
 }
 
-bool takeFromRamp(ColdRamp &ramp, Model::RequestsPerSecond limit, std::size_t holders,
+bool takeSlowStartToken(SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
                   Model::SteadyTime now)
 {
     if (limit.value() <= 0)
@@ -40,7 +40,7 @@
     return true;
 }
 
-bool hasRampRoom(const ColdRamp &ramp, Model::RequestsPerSecond limit, std::size_t holders,
+bool hasSlowStartToken(const SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
                  Model::SteadyTime now)
 {
     return limit.value() <= 0 || tokensAt(ramp, limit, holders, now) >= 1;
--- a/Libraries/LibPolicy/SlowStart.h
+++ b/Libraries/LibPolicy/SlowStart.h
@@ -8,14 +8,14 @@
 
 /// Token bucket for the requests that one entry may send to one cold target. Not shared between
 /// threads.
-struct ColdRamp
+struct SlowStart
 {
     double tokens_ = 0;
     Model::SteadyTime filledAt_;
 };
 
 /// Starts with an empty bucket. Thread safety: \a ramp belongs to the calling thread.
-void startRamp(ColdRamp &ramp, Model::SteadyTime now);
+void beginSlowStart(SlowStart &ramp, Model::SteadyTime now);
 
 /// Takes the token for one request, if available. \a limit is the rate that the target can take
 /// from all entries together; each of \a holders entries uses an equal part and saves at most one
@@ -24,11 +24,11 @@
 /// Without the limit, a target that returns with empty caches gets its whole share at once, falls
 /// behind and crashes again. With more saved tokens, all entries would spend them in the same
 /// second. Thread safety: as above.
-bool takeFromRamp(ColdRamp &ramp, Model::RequestsPerSecond limit, std::size_t holders,
+bool takeSlowStartToken(SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
                   Model::SteadyTime now);
 
-/// Returns whether takeFromRamp() would succeed. Thread safety: any thread.
-bool hasRampRoom(const ColdRamp &ramp, Model::RequestsPerSecond limit, std::size_t holders,
+/// Returns whether takeSlowStartToken() would succeed. Thread safety: any thread.
+bool hasSlowStartToken(const SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
                  Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/SpareConnections.h
+++ b/Libraries/LibPolicy/SpareConnections.h
@@ -18,7 +18,7 @@
 
 /// Least probability that the next request uses an idle connection opened in advance. Gaps are
 /// assumed to be exponentially distributed.
-constexpr double leastSpareUse = 0.7;
+constexpr double minIdleConnectionReuse = 0.7;
 
 /// Records that a request goes to the target. Thread safety: \a use belongs to the calling thread.
 void noteUse(TargetUse &use, Model::SteadyTime now);
@@ -30,6 +30,6 @@
 /// fresh enough, wait a round trip for a new one and are late. With idle connections to all
 /// targets, each entry of a large fleet opens one to each target every few seconds, and most are
 /// never used. Thread safety: any thread.
-bool isSpareWorthwhile(const TargetUse &use, Model::Milliseconds life, Model::SteadyTime now);
+bool isIdleConnectionWorthwhile(const TargetUse &use, Model::Milliseconds life, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/TargetChoice.cpp
+++ b/Libraries/LibPolicy/TargetChoice.cpp
@@ -27,11 +27,11 @@
 
 Model::Microseconds expectedTime(const Candidate &candidate, const WorkEstimate &work)
 {
-    const double coldness = candidate.isKnownWarm_ ? 0 : 1 - candidate.othersWarmth_;
+    const double coldness = candidate.isKnownWarm_ ? 0 : 1 - candidate.peerWarmth_;
     return timeFor(candidate, work, work.warm_ + scaled(work.cold_ - work.warm_, coldness));
 }
 
-Model::Microseconds latestUsualTime(const Candidate &candidate, const WorkEstimate &work)
+Model::Microseconds latestNormalTime(const Candidate &candidate, const WorkEstimate &work)
 {
     return timeFor(candidate, work, candidate.isKnownWarm_ ? work.warm_ : work.cold_);
 }
@@ -39,7 +39,7 @@
 Model::Microseconds coldLoadCost(const WorkEstimate &work, double use)
 {
     const double idle = std::max(1 - use, 0.01);
-    return scaled(work.cold_ - work.warm_, std::clamp(use / idle, 1.0, mostLoadPrice));
+    return scaled(work.cold_ - work.warm_, std::clamp(use / idle, 1.0, maxColdLoadCostFactor));
 }
 
 std::optional<TargetChoice> chooseAmong(const std::vector<Candidate> &candidates,
@@ -52,7 +52,7 @@
         const auto expected = expectedTime(candidates[i], work);
         const Candidate &candidate = candidates[i];
         const bool isFree = candidate.isHome_ || candidate.isKnownWarm_
-                            || (candidate.isOverflow_ && use < maxUseForSecondaryLoad);
+                            || (candidate.isSecondaryOwner_ && use < maxUseForSecondaryLoad);
         const auto cost = expected + (isFree ? Model::Microseconds(0) : loadCost);
         if (best && cost >= bestCost)
             continue;
--- a/Libraries/LibPolicy/TargetChoice.h
+++ b/Libraries/LibPolicy/TargetChoice.h
@@ -17,14 +17,14 @@
     bool isHome_ = false;
     /// The target has the highest rank for the object in a failure domain that is the object's home
     /// for callers of that domain, though not for this caller.
-    bool isHomeOfOthers_ = false;
+    bool isRemoteHome_ = false;
     /// Secondary owner: takes requests for which the better ranked target in the home domain has no
     /// slot.
-    bool isOverflow_ = false;
+    bool isSecondaryOwner_ = false;
     /// This entry has recently seen the target handle the object.
     bool isKnownWarm_ = false;
     /// Otherwise, the probability (0 to 1) that other entries have sent the object there.
-    double othersWarmth_ = 0;
+    double peerWarmth_ = 0;
     /// The request would run in another region than that of the object's home.
     bool leavesHomeRegion_ = false;
     Model::Microseconds roundTrip_{0};
@@ -47,7 +47,7 @@
 };
 
 /// Largest weight of a cold load in a full service, relative to an idle service.
-constexpr double mostLoadPrice = 4;
+constexpr double maxColdLoadCostFactor = 4;
 
 /// Below this utilisation of a service's slots a cold load takes only idle time, and a secondary
 /// owner may load an object whose first owner is full.
@@ -77,7 +77,7 @@
 /// If targets were held to expectedTime(), each first request for an object would take three to
 /// four times the warm time and make the target look slow; its objects would go to others that must
 /// load them too, and those would look slow in turn. Thread safety: any thread.
-Model::Microseconds latestUsualTime(const Candidate &candidate, const WorkEstimate &work);
+Model::Microseconds latestNormalTime(const Candidate &candidate, const WorkEstimate &work);
 
 /// The chosen candidate and its expected time.
 struct TargetChoice
--- a/Libraries/LibPolicy/TargetPicker.cpp
+++ b/Libraries/LibPolicy/TargetPicker.cpp
@@ -111,7 +111,7 @@
     return static_cast<double>(use.inFlight_ + 1) <= limit;
 }
 
-bool mayFillShared(const PoolNotes &notes, std::int64_t ownInFlight, double useLimit)
+bool mayFillShared(const PoolUsage &notes, std::int64_t ownInFlight, double useLimit)
 {
     const double limit = std::floor(static_cast<double>(notes.slots_) * useLimit + 1e-6);
     const double used = static_cast<double>(notes.ownInFlight_ + notes.peersInFlight_);
--- a/Libraries/LibPolicy/TargetPicker.h
+++ b/Libraries/LibPolicy/TargetPicker.h
@@ -94,7 +94,7 @@
 bool mayFillSlot(const SlotUse &use, double useLimit);
 
 /// State of one service's slots as of the last exchange between the entries of a region.
-struct PoolNotes
+struct PoolUsage
 {
     std::int64_t slots_ = 0;
     std::int64_t ownInFlight_ = 0;
@@ -113,7 +113,7 @@
 /// takes an equal part of the room at the last exchange, and refills the slots that it releases
 /// itself. If bulk is above the limit, each entry gives up its part of the excess. The dither
 /// distributes rooms smaller than the number of entries. Thread safety: any thread.
-bool mayFillShared(const PoolNotes &notes, std::int64_t ownInFlight, double useLimit);
+bool mayFillShared(const PoolUsage &notes, std::int64_t ownInFlight, double useLimit);
 
 /// Returns whether any target is neither leaving nor suspect, and so could take work.
 ///
--- a/Libraries/LibPolicy/WeightedRoundRobin.h
+++ b/Libraries/LibPolicy/WeightedRoundRobin.h
@@ -9,7 +9,7 @@
 
 /// Smooth weighted round robin over the splits of a route: the number of requests that each split
 /// is owed. Not shared between threads.
-struct PartTurns
+struct WeightedRoundRobin
 {
     std::vector<double> owed_;
 };
@@ -20,6 +20,6 @@
 /// With a random draw, the counts of a few hundred requests would deviate by several percent from
 /// the weights. Precondition: \a parts has a weight above zero. Thread safety: \a turns belongs to
 /// the calling thread.
-std::size_t nextPart(PartTurns &turns, const std::vector<Model::RoutePart> &parts);
+std::size_t nextWeightedSplit(WeightedRoundRobin &turns, const std::vector<Model::RoutePart> &parts);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/WorkTimes.cpp
+++ b/Libraries/LibPolicy/WorkTimes.cpp
@@ -19,7 +19,7 @@
     return static_cast<double>(worked.count()) < (times.warmUs_ + times.coldUs_) / 2;
 }
 
-WorkTimes firstWorkTimes(Model::Milliseconds latencyGoal)
+WorkTimes initialWorkTimes(Model::Milliseconds latencyGoal)
 {
     const auto goalUs
         = static_cast<double>(std::chrono::duration_cast<Model::Microseconds>(latencyGoal).count());
@@ -43,12 +43,12 @@
     blend(warmth, looksWarm(times, worked) ? 1 : 0, workTimeWeight);
 }
 
-void learnKept(ObjectMemory &memory, Model::Milliseconds age, bool wasWarm)
+void learnRetention(ObjectRetention &memory, Model::Milliseconds age, bool wasWarm)
 {
     // A single slow answer is weak evidence, so it shrinks the time by a tenth only. One warm
     // answer after a longer time is stronger evidence than many after a shorter one.
     if (!wasWarm && age < memory.kept_) {
-        memory.kept_ = std::max(shortestKept, std::max(age, memory.kept_ * 9 / 10));
+        memory.kept_ = std::max(minRetention, std::max(age, memory.kept_ * 9 / 10));
     } else if (wasWarm && age > memory.kept_ / 2) {
         memory.kept_ = std::min(maxRetention, std::max(age, memory.kept_ * 21 / 20));
     }
@@ -108,7 +108,7 @@
     state.isProbed_ = state.failures_ > 0;
 }
 
-Model::Milliseconds connectPatience(Model::Microseconds roundTrip)
+Model::Milliseconds connectionTimeout(Model::Microseconds roundTrip)
 {
     constexpr Model::Milliseconds processing{100};
     return processing + 2 * std::chrono::duration_cast<Model::Milliseconds>(roundTrip);
--- a/Libraries/LibPolicy/WorkTimes.h
+++ b/Libraries/LibPolicy/WorkTimes.h
@@ -20,14 +20,14 @@
 constexpr double workTimeWeight = 0.05;
 
 /// Returns the estimate before the first measurement. Thread safety: any thread.
-WorkTimes firstWorkTimes(Model::Milliseconds latencyGoal);
+WorkTimes initialWorkTimes(Model::Milliseconds latencyGoal);
 
 /// Records how long a target worked on a request. If \a isKnownWarm is false, updates the nearer of
 /// the two averages. Thread safety: \a times belongs to the calling thread.
 void learnWorkTime(WorkTimes &times, Model::Microseconds worked, bool isKnownWarm);
 
 /// Bounds of the estimated retention time of an object.
-constexpr Model::Milliseconds shortestKept{1000};
+constexpr Model::Milliseconds minRetention{1000};
 constexpr Model::Milliseconds maxRetention{120000};
 
 /// Initial estimate. An entry may have started alone, among targets that others use, or with the
@@ -36,26 +36,26 @@
 
 /// Probability that a target has an object that this entry has not sent there yet, learned per
 /// route from how long the answers took. Not shared between threads.
-struct OthersWarmth
+struct PeerWarmth
 {
     /// At the object's home, where other entries of the region send it too.
     double atHome_ = initialPeerWarmth;
     /// At the object's home for callers of another region. Some objects are requested by one
     /// region's callers alone: if such a target were considered warm, it would be chosen when the
     /// home is busy and take several times as long as expected.
-    double elsewhere_ = initialPeerWarmth;
+    double atRemoteHome_ = initialPeerWarmth;
 };
 
 /// Returns whether \a worked is a warm processing time. Thread safety: any thread.
 bool looksWarm(const WorkTimes &times, Model::Microseconds worked);
 
-/// Updates \a warmth, a member of OthersWarmth, with an answer that took \a worked. Thread safety:
+/// Updates \a warmth, a member of PeerWarmth, with an answer that took \a worked. Thread safety:
 /// \a warmth belongs to the calling thread.
 void learnWarmth(double &warmth, const WorkTimes &times, Model::Microseconds worked);
 
 /// Estimated time for which the targets of a service retain an object that is not requested,
 /// learned from their answers. Not shared between threads.
-struct ObjectMemory
+struct ObjectRetention
 {
     Model::Milliseconds kept_ = maxRetention;
 };
@@ -66,7 +66,7 @@
 /// times long after an overload: targets retain some dozens of objects, and under load each
 /// off-owner request evicts another object, so that both are loaded again and again while they are
 /// considered warm. Thread safety: \a memory belongs to the calling thread.
-void learnKept(ObjectMemory &memory, Model::Milliseconds age, bool wasWarm);
+void learnRetention(ObjectRetention &memory, Model::Milliseconds age, bool wasWarm);
 
 /// A target's answer times relative to the expected times, and its failure rate. Not shared between
 /// threads.
@@ -136,6 +136,6 @@
 ///
 /// Two round trips and some processing time. A lost first packet is sent again only after a second,
 /// so a new attempt is faster than waiting. Thread safety: any thread.
-Model::Milliseconds connectPatience(Model::Microseconds roundTrip);
+Model::Milliseconds connectionTimeout(Model::Microseconds roundTrip);
 
 } // namespace Policy
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -146,7 +146,7 @@
     request.service_ = placer_.chooseService(*request.route_);
     Policy::RetryTerms terms;
     terms.share_ = port_.terms_.retryShare_ * usedRetryFraction;
-    terms.largest_ = port_.terms_.retryExtra_ * usedRetryFraction / static_cast<double>(instances_);
+    terms.maxCredit_ = port_.terms_.retryExtra_ * usedRetryFraction / static_cast<double>(instances_);
     Policy::earnRetryCredit(retryBudgets_[request.service_], terms);
     return std::nullopt;
 }
@@ -257,7 +257,7 @@
         if (!target->takesWork() || target->isConnecting_)
             continue;
         if (placer_.roundTripTo(*target) < slowConnectThreshold
-            || !Policy::isSpareWorthwhile(target->use_, maxIdleTimeNonIdempotent, now))
+            || !Policy::isIdleConnectionWorthwhile(target->use_, maxIdleTimeNonIdempotent, now))
             continue;
         const auto &address = target->record_.address_;
         if (pool_.keepFresh(address, maxIdleTime, idleRefreshAge))
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -53,7 +53,7 @@
     void setTargetsNews(std::function<TargetsNews()> news) { targetsFreshness_ = std::move(news); }
 
     /// Opens a new connection to each remote target that is in use and whose idle connections are
-    /// about to expire. Policy::isSpareWorthwhile() gives the reason.
+    /// about to expire. Policy::isIdleConnectionWorthwhile() gives the reason.
     void refreshSpares(const TargetBook &registry);
     /// Closes idle connections to \a addresses, at which other incarnations of targets now listen.
     ///
--- a/Libraries/LibSteering/DispatcherAnswers.cpp
+++ b/Libraries/LibSteering/DispatcherAnswers.cpp
@@ -60,7 +60,7 @@
 {
     if (attempt.outcome_ == Outcome::NotRun) {
         const auto comeBack
-            = Policy::returnAfter(Microseconds(0), request.route_->latencyGoal_, 0.5);
+            = Policy::refusalRetryDelay(Microseconds(0), request.route_->latencyGoal_, 0.5);
         return refuse(request, {attempt.code_, comeBack, Microseconds(0)});
     }
     ++counters_.unknown_;
--- a/Libraries/LibSteering/DispatcherOutcomes.cpp
+++ b/Libraries/LibSteering/DispatcherOutcomes.cpp
@@ -51,7 +51,7 @@
     Policy::learnLoad(target.sharedLoad_, static_cast<double>(load->running_ + load->waiting_),
                       target.record_.slots_, steadyNow());
     const std::int64_t others = load->running_ + load->waiting_ - target.ownInFlight_;
-    Policy::learnOthersLoad(target.othersLoad_, std::max<double>(0, static_cast<double>(others)),
+    Policy::learnPeerReportedLoad(target.othersLoad_, std::max<double>(0, static_cast<double>(others)),
                             steadyNow());
 }
 
--- a/Libraries/LibSteering/PlacementEngine.cpp
+++ b/Libraries/LibSteering/PlacementEngine.cpp
@@ -57,7 +57,7 @@
     RouteState &state = routes_[route.id_];
     if (state.weightedSplit_.owed_.size() != route.parts_.size())
         state.weightedSplit_.owed_.assign(route.parts_.size(), 0);
-    return route.parts_[Policy::nextPart(state.weightedSplit_, route.parts_)].service_;
+    return route.parts_[Policy::nextWeightedSplit(state.weightedSplit_, route.parts_)].service_;
 }
 
 Placer::RouteWork &Placer::workOf(const Model::Route &route, const Model::ServiceId &service)
@@ -66,7 +66,7 @@
     const auto known = work.find(service);
     if (known != work.end())
         return known->second;
-    return work.emplace(service, RouteWork{Policy::firstWorkTimes(route.latencyGoal_), {}})
+    return work.emplace(service, RouteWork{Policy::initialWorkTimes(route.latencyGoal_), {}})
         .first->second;
 }
 
@@ -117,7 +117,7 @@
                           && entries_[target.region_] > 0;
     const auto *service = request.table_->service(request.service_);
     return !isOthers && service
-           && Policy::hasRampRoom(target.slowStart_, service->coldLimit_, entriesSharing(target),
+           && Policy::hasSlowStartToken(target.slowStart_, service->coldLimit_, entriesSharing(target),
                                   now);
 }
 
@@ -140,7 +140,7 @@
         for (const auto &target : domain) {
             const auto own = static_cast<double>(target->record_.slots_.value());
             const double load = static_cast<double>(target->ownInFlight_)
-                                + Policy::othersLoadAt(target->othersLoad_, workTime, now);
+                                + Policy::peerReportedLoadAt(target->othersLoad_, workTime, now);
             slots += own;
             taken += std::min(own, load);
         }
@@ -169,8 +169,8 @@
     candidate.slots_ = static_cast<double>(target.record_.slots_.value());
     const auto own = static_cast<double>(target.ownInFlight_);
     candidate.load_ = own
-                      + std::max(Policy::freshOthersLoad(target.othersLoad_, workTime, now),
-                                 Policy::othersByNews(target.sharedLoad_, own, now));
+                      + std::max(Policy::freshPeerReportedLoad(target.othersLoad_, workTime, now),
+                                 Policy::peerLoadByUpdates(target.sharedLoad_, own, now));
     candidate.roundTrip_ = roundTrips_[target.region_];
     const auto pace = Policy::paceAt(target.pace_, now);
     candidate.slowness_ = pace.slowness_;
@@ -214,19 +214,19 @@
                        bool isHomeOfOthers, SteadyTime now)
 {
     const Owners owners = ownersAmong(request, targets, now);
-    const auto &others = workOf(*request.route_, request.service_).othersWarmth_;
+    const auto &others = workOf(*request.route_, request.service_).peerWarmth_;
     // If the first owner stays full, the second one takes the excess.
     const bool isFirstFull
-        = owners.first_ && Policy::isLastinglyFull((*owners.first_)->sharedLoad_, now);
+        = owners.first_ && Policy::isPersistentlyFull((*owners.first_)->sharedLoad_, now);
     const auto add = [&](const std::shared_ptr<TargetState> &target, bool isOwner) {
         Policy::Candidate candidate = candidateFor(request, *target, now);
         candidate.isHome_ = isOwner && isHome;
-        candidate.isHomeOfOthers_ = isOwner && isHomeOfOthers && !isHome;
-        candidate.isOverflow_ = !isOwner && isHome && isFirstFull;
+        candidate.isRemoteHome_ = isOwner && isHomeOfOthers && !isHome;
+        candidate.isSecondaryOwner_ = !isOwner && isHome && isFirstFull;
         if (candidate.isHome_)
-            candidate.othersWarmth_ = others.atHome_;
-        if (candidate.isHomeOfOthers_)
-            candidate.othersWarmth_ = others.elsewhere_;
+            candidate.peerWarmth_ = others.atHome_;
+        if (candidate.isRemoteHome_)
+            candidate.peerWarmth_ = others.atRemoteHome_;
         candidates_.push_back(candidate);
         candidateTargets_.push_back(target);
     };
@@ -303,36 +303,36 @@
     if (!choice)
         return Refusal{ResultCode::NoTarget, retryDelayWithoutTarget, Microseconds(0)};
 
-    Policy::AdmissionCase admission;
+    Policy::AdmissionInputs admission;
     admission.expected_ = choice->expected_;
     admission.left_ = std::chrono::duration_cast<Microseconds>(request.deadline_ - now);
     admission.goalLeft_
         = std::chrono::duration_cast<Microseconds>(request.arrivedAt_ + route.latencyGoal_ - now);
     admission.priority_ = route.priority_;
-    const auto admitted = Policy::judgeAdmission(admission, route.latencyGoal_);
+    const auto admitted = Policy::evaluateAdmission(admission, route.latencyGoal_);
     if (admitted != Policy::AdmissionVerdict::Take) {
         const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
         const bool isTooLate = admitted == Policy::AdmissionVerdict::TooLate;
         return Refusal{isTooLate ? ResultCode::WouldBeLate : ResultCode::OverCapacity,
-                       Policy::returnAfter(choice->expected_, route.latencyGoal_, draw),
+                       Policy::refusalRetryDelay(choice->expected_, route.latencyGoal_, draw),
                        choice->expected_};
     }
     const Policy::Candidate &chosen = candidates_[choice->candidate_];
     Placement placement;
     placement.target_ = candidateTargets_[choice->candidate_];
     placement.isHome_ = chosen.isHome_;
-    placement.isHomeOfOthers_ = chosen.isHomeOfOthers_;
+    placement.isRemoteHome_ = chosen.isRemoteHome_;
     placement.isKnownWarm_ = chosen.isKnownWarm_;
     placement.load_ = chosen.load_;
     placement.expected_ = choice->expected_;
-    placement.maxUsualLatency_ = Policy::latestUsualTime(chosen, work);
+    placement.maxUsualLatency_ = Policy::latestNormalTime(chosen, work);
     Policy::noteTry(placement.target_->reachability_);
     Policy::noteUse(placement.target_->use_, now);
     Policy::countRequest(spillOver_, chosen.leavesHomeRegion_, now);
     TargetState &target = *placement.target_;
     if (target.isCold(now)) {
         const auto *service = request.table_->service(request.service_);
-        Policy::takeFromRamp(target.slowStart_, service->coldLimit_, entriesSharing(target), now);
+        Policy::takeSlowStartToken(target.slowStart_, service->coldLimit_, entriesSharing(target), now);
     }
     return placement;
 }
--- a/Libraries/LibSteering/PlacementEngine.h
+++ b/Libraries/LibSteering/PlacementEngine.h
@@ -55,7 +55,7 @@
     struct RouteWork
     {
         Policy::WorkTimes times_;
-        Policy::OthersWarmth othersWarmth_;
+        Policy::PeerWarmth peerWarmth_;
     };
 
     /// The fraction of a service's slots that was in use at a point in time.
@@ -67,7 +67,7 @@
 
     struct RouteState
     {
-        Policy::PartTurns weightedSplit_;
+        Policy::WeightedRoundRobin weightedSplit_;
         std::unordered_map<Model::ServiceId, RouteWork> work_;
     };
 
@@ -121,7 +121,7 @@
     std::unordered_map<Model::RouteId, RouteState> routes_;
     /// Mean processing time of all requests of a service at its targets.
     std::unordered_map<Model::ServiceId, double> serviceMeanUs_;
-    std::unordered_map<Model::ServiceId, Policy::ObjectMemory> memory_;
+    std::unordered_map<Model::ServiceId, Policy::ObjectRetention> memory_;
     std::unordered_map<Model::ServiceId, SlotUse> use_;
     /// Round trip to each region, measured on new connections.
     std::vector<Model::Microseconds> roundTrips_;
--- a/Libraries/LibSteering/PlacementLearning.cpp
+++ b/Libraries/LibSteering/PlacementLearning.cpp
@@ -48,13 +48,13 @@
     RouteWork &work = workOf(*request.route_, request.service_);
     if (sentBefore) {
         const auto age = std::chrono::duration_cast<Milliseconds>(now - *sentBefore);
-        Policy::learnKept(memory_[request.service_], age, Policy::looksWarm(work.times_, worked));
+        Policy::learnRetention(memory_[request.service_], age, Policy::looksWarm(work.times_, worked));
     }
-    auto &others = work.othersWarmth_;
+    auto &others = work.peerWarmth_;
     if (!placement.isKnownWarm_ && placement.isHome_)
         Policy::learnWarmth(others.atHome_, work.times_, worked);
-    if (!placement.isKnownWarm_ && placement.isHomeOfOthers_)
-        Policy::learnWarmth(others.elsewhere_, work.times_, worked);
+    if (!placement.isKnownWarm_ && placement.isRemoteHome_)
+        Policy::learnWarmth(others.atRemoteHome_, work.times_, worked);
     Policy::learnWorkTime(work.times_, worked, false);
     const auto value = static_cast<double>(worked.count());
     const auto [mean, isFirst] = serviceMeanUs_.emplace(request.service_, value);
@@ -80,7 +80,7 @@
 
 Milliseconds Placer::connectTimeoutFor(const TargetState &target) const
 {
-    return Policy::connectPatience(roundTrips_[target.region_]);
+    return Policy::connectionTimeout(roundTrips_[target.region_]);
 }
 
 void Placer::noteConnect(const TargetState &target, Microseconds took)
--- a/Libraries/LibSteering/RequestContext.h
+++ b/Libraries/LibSteering/RequestContext.h
@@ -48,7 +48,7 @@
 {
     std::shared_ptr<TargetState> target_;
     bool isHome_ = false;
-    bool isHomeOfOthers_ = false;
+    bool isRemoteHome_ = false;
     /// This entry has recently sent the object there, so the target is expected to have it loaded.
     bool isKnownWarm_ = false;
     double load_ = 0;
--- a/Libraries/LibSteering/TargetRegistry.cpp
+++ b/Libraries/LibSteering/TargetRegistry.cpp
@@ -129,7 +129,7 @@
         // A cold target has lost its loaded objects.
         target->objects_.clear();
         if (!wasCold)
-            Policy::startRamp(target->slowStart_, now);
+            Policy::beginSlowStart(target->slowStart_, now);
     }
     log_.line(isNew ? Event::TargetAdded : Event::TargetChanged)
         .add("target", id.value())
@@ -252,12 +252,12 @@
     std::vector<Policy::TargetLoad> loads;
     for (const auto &[name, target] : byShortName_) {
         const Policy::SharedLoad &load = target->sharedLoad_;
-        if (!Policy::isLoadNews(load, target->record_.slots_, now))
+        if (!Policy::shouldSendLoad(load, target->record_.slots_, now))
             continue;
-        const auto age = std::chrono::duration_cast<Model::Milliseconds>(now - load.saidAt_);
+        const auto age = std::chrono::duration_cast<Model::Milliseconds>(now - load.reportedAt_);
         loads.push_back({name, static_cast<std::uint32_t>(load.inProgress_), age});
     }
-    Policy::keepLatest(loads);
+    Policy::keepLatestLoads(loads);
     return loads;
 }
 
--- a/Libraries/LibSteering/TargetRegistry.h
+++ b/Libraries/LibSteering/TargetRegistry.h
@@ -59,11 +59,11 @@
     /// The requests in progress, oldest first.
     std::list<SentRequest> sentRequests_;
     LastSend lastSend_;
-    Policy::OthersLoad othersLoad_;
+    Policy::PeerReportedLoad othersLoad_;
     Policy::SharedLoad sharedLoad_;
 
     Policy::TargetPace pace_;
-    Policy::ColdRamp slowStart_;
+    Policy::SlowStart slowStart_;
     Model::SteadyTime coldUntil_;
     Policy::Reachability reachability_;
     /// When it last answered any request.
--- a/Services/Entryd/Attempts.cpp
+++ b/Services/Entryd/Attempts.cpp
@@ -134,7 +134,7 @@
         requestResult.outcome_ = Policy::outcomeOf(stage);
         requestResult.code_ = result.code_;
         if (requestResult.outcome_ == Outcome::NotRun)
-            requestResult.retryDelay_ = Policy::leastComeBack;
+            requestResult.retryDelay_ = Policy::minRetryAfter;
         if (result.isWithdrawn_) {
             ++counters_.withdrawn_;
             // No part of the request was sent: it returns to the queue and waits for another
@@ -155,7 +155,7 @@
     if (!refusedBecause.empty()) {
         requestResult.outcome_ = Policy::outcomeOf(AttemptStage::RefusedByTarget);
         requestResult.code_ = ResultCode::TargetRefused;
-        requestResult.retryDelay_ = Policy::leastComeBack;
+        requestResult.retryDelay_ = Policy::minRetryAfter;
         isRefusedAsFull = true;
         if (refusedBecause == "draining") {
             if (!target.isLeaving_.exchange(true))
@@ -196,7 +196,7 @@
         requestResult.code_
             = isNotConnected ? ResultCode::NoTarget : ResultCode::EntryConnectionLost;
         if (isNotConnected)
-            requestResult.retryDelay_ = Policy::leastComeBack;
+            requestResult.retryDelay_ = Policy::minRetryAfter;
         co_return requestResult;
     }
     Policy::noteEntryAnswered(entryFailures_, place.address_);
--- a/Services/Entryd/Dispatcher.cpp
+++ b/Services/Entryd/Dispatcher.cpp
@@ -229,11 +229,11 @@
         ++attempts;
         bool isRefusedAsFull = false;
         const bool holdsCredit
-            = Policy::holdRetryCredit(retryBudget_, request.isIdempotent_, attempts);
+            = Policy::reserveRetryCredit(retryBudget_, request.isIdempotent_, attempts);
         RequestResult requestResult = co_await attempt(request, std::move(placement),
                                                        {attempts, holdsCredit}, isRefusedAsFull);
         if (holdsCredit)
-            Policy::giveBackRetryCredit(retryBudget_);
+            Policy::releaseRetryCredit(retryBudget_);
         if (requestResult.outcome_ == Outcome::Run)
             co_return requestResult;
         // A target without a free slot is not a failure: the request returns to the queue.
--- a/Services/Entryd/Planner.cpp
+++ b/Services/Entryd/Planner.cpp
@@ -294,7 +294,7 @@
         = Policy::allowedProgress(table, ramp.shares_, goal, caps, std::chrono::seconds(1));
     const double seconds = progressPerSecond > 0 ? 1.0 / progressPerSecond : 1.0;
     const Milliseconds wait(static_cast<long long>(seconds * 1000));
-    plan.retryDelay_ = std::clamp(wait, Policy::leastComeBack, Policy::longestComeBack);
+    plan.retryDelay_ = std::clamp(wait, Policy::minRetryAfter, Policy::maxRetryAfter);
     return plan;
 }
 
--- a/Services/Entryd/ServiceQueue.cpp
+++ b/Services/Entryd/ServiceQueue.cpp
@@ -70,7 +70,7 @@
 
 Milliseconds ServiceQueue::estimatedRetryDelay() const
 {
-    return Policy::comeBackAfter(drainRate_, queue_.size_);
+    return Policy::queueRetryDelay(drainRate_, queue_.size_);
 }
 
 std::size_t ServiceQueue::maxQueueLength(const CallerRequest &request) const
@@ -104,7 +104,7 @@
     const std::size_t holders = cell_.read([&](const EntrySnapshot *snapshot) {
         return snapshot->fleetSize_;
     });
-    const auto limit = Policy::limitPart(request.class_.limit_, holders);
+    const auto limit = Policy::limitPerHolder(request.class_.limit_, holders);
     if (!Policy::takeToken(buckets_[request.class_.id_], limit, now))
         return reject(ResultCode::ClassLimited);
     if (queue_.size_ == 0 || queue_.size_ < maxQueueLength(request))
--- a/Services/Entryd/SlotHints.cpp
+++ b/Services/Entryd/SlotHints.cpp
@@ -252,7 +252,7 @@
         return;
     const auto now = std::chrono::steady_clock::now();
     std::vector<Policy::TargetView> views;
-    Policy::PoolNotes pool;
+    Policy::PoolUsage pool;
     for (const auto &target : targetsOf(snapshot, service)) {
         views.push_back(viewOf(*target, now));
         pool.ownInFlight_ += target->ownInFlight_;
@@ -269,12 +269,12 @@
     cell.updatedAtUs_ = nowUs();
 }
 
-std::optional<Policy::PoolNotes> SlotHints::poolState(std::size_t service) const
+std::optional<Policy::PoolUsage> SlotHints::poolState(std::size_t service) const
 {
     const PoolCell &cell = pools_[service % maxServices];
     if (nowUs() - cell.updatedAtUs_ > hintTtlUs)
         return std::nullopt;
-    Policy::PoolNotes current;
+    Policy::PoolUsage current;
     current.slots_ = cell.slots_;
     current.ownInFlight_ = cell.ownInFlight_;
     current.peersInFlight_ = cell.peersInFlight_;
--- a/Services/Entryd/SlotHints.h
+++ b/Services/Entryd/SlotHints.h
@@ -52,7 +52,7 @@
 
     /// Returns the pool state of the last hint exchange, or std::nullopt if there was no recent
     /// one.
-    std::optional<Policy::PoolNotes> poolState(std::size_t service) const;
+    std::optional<Policy::PoolUsage> poolState(std::size_t service) const;
 
 private:
     static constexpr std::size_t maxThreads = 64;
--- a/Tests/LibPolicy/TestConsistency.cpp
+++ b/Tests/LibPolicy/TestConsistency.cpp
@@ -43,7 +43,7 @@
                 own.requestHash_ = 7;
                 own.holder_ = std::to_string(attempt);
                 const auto verdict
-                    = stored ? Policy::judgeClaim(*stored, own.holder_, own.requestHash_)
+                    = stored ? Policy::evaluateClaim(*stored, own.holder_, own.requestHash_)
                              : ClaimVerdict::TakeOver;
                 if (verdict != ClaimVerdict::TakeOver)
                     continue;
@@ -66,7 +66,7 @@
         });
         Claim other;
         other.requestHash_ = 1;
-        CPPUNIT_ASSERT(Policy::judgeClaim(other, "me", 2) == ClaimVerdict::OtherRequest);
+        CPPUNIT_ASSERT(Policy::evaluateClaim(other, "me", 2) == ClaimVerdict::OtherRequest);
     }
 
     void claimsSurviveSerialization()
--- a/Tests/LibPolicy/TestFairness.cpp
+++ b/Tests/LibPolicy/TestFairness.cpp
@@ -131,7 +131,7 @@
         Support::assertProperty("the sum over holders never passes the limit in a second", [] {
             const auto holders = static_cast<std::size_t>(*rc::gen::inRange(1, 20));
             const Model::RequestsPerSecond limit(*rc::gen::inRange(20, 2000));
-            const auto part = Policy::limitPart(limit, holders);
+            const auto part = Policy::limitPerHolder(limit, holders);
             double taken = 0;
             for (std::size_t holder = 0; holder < holders; ++holder) {
                 Policy::RateBucket bucket;
@@ -164,12 +164,12 @@
 
         // Credit reserved for a request is available when the request needs it.
         Policy::RetryBudget small{1};
-        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, false, 1));
-        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, Policy::maxAttemptsPerRequest));
-        CPPUNIT_ASSERT(Policy::holdRetryCredit(small, true, 1));
-        CPPUNIT_ASSERT(!Policy::holdRetryCredit(small, true, 1));
+        CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, false, 1));
+        CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, true, Policy::maxAttemptsPerRequest));
+        CPPUNIT_ASSERT(Policy::reserveRetryCredit(small, true, 1));
+        CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::mayRetry(small, Policy::Outcome::NotRun, true, 1));
-        Policy::giveBackRetryCredit(small);
+        Policy::releaseRetryCredit(small);
         CPPUNIT_ASSERT(Policy::mayRetry(small, Policy::Outcome::Unknown, true, 1));
     }
 
--- a/Tests/LibPolicy/TestLearning.cpp
+++ b/Tests/LibPolicy/TestLearning.cpp
@@ -32,14 +32,14 @@
     {
         Candidate home;
         home.slots_ = 3;
-        home.othersWarmth_ = 1;
+        home.peerWarmth_ = 1;
         CPPUNIT_ASSERT(Policy::expectedTime(home, work) == work.warm_);
-        CPPUNIT_ASSERT(Policy::latestUsualTime(home, work) == work.cold_);
+        CPPUNIT_ASSERT(Policy::latestNormalTime(home, work) == work.cold_);
         Policy::TargetPace pace;
-        Policy::learnAnswer(pace, work.cold_, Policy::latestUsualTime(home, work), start);
+        Policy::learnAnswer(pace, work.cold_, Policy::latestNormalTime(home, work), start);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(1, pace.slowness_, 1e-9);
         home.isKnownWarm_ = true;
-        CPPUNIT_ASSERT(Policy::latestUsualTime(home, work) == work.warm_);
+        CPPUNIT_ASSERT(Policy::latestNormalTime(home, work) == work.warm_);
     }
 
     // Each region's callers request objects of their own. If an object's home for other callers
@@ -61,23 +61,23 @@
     // load six new ones a second while a service is overloaded.
     void retentionFollowsAnswers()
     {
-        Policy::ObjectMemory memory;
+        Policy::ObjectRetention memory;
         for (int i = 0; i < 300; ++i) {
             const Milliseconds age(500 + 37 * (i % 200));
-            Policy::learnKept(memory, age, age < Milliseconds(4000));
+            Policy::learnRetention(memory, age, age < Milliseconds(4000));
         }
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(3000));
         CPPUNIT_ASSERT(memory.kept_ < Milliseconds(6000));
         // The overload has ended, and objects are retained for long again.
         for (int i = 0; i < 200; ++i)
-            Policy::learnKept(memory, Milliseconds(200 * i), true);
+            Policy::learnRetention(memory, Milliseconds(200 * i), true);
         CPPUNIT_ASSERT(memory.kept_ > Milliseconds(30000));
     }
 
     void oneSlowAnswerShortensRetentionLittle()
     {
-        Policy::ObjectMemory memory;
-        Policy::learnKept(memory, Milliseconds(300), false);
+        Policy::ObjectRetention memory;
+        Policy::learnRetention(memory, Milliseconds(300), false);
         CPPUNIT_ASSERT(memory.kept_ >= Policy::maxRetention * 8 / 10);
     }
 
@@ -123,29 +123,29 @@
     // would consider the target idle in between.
     void peerLoadDecaysToTheAverage()
     {
-        Policy::OthersLoad load;
+        Policy::PeerReportedLoad load;
         for (int i = 0; i < 20; ++i)
-            Policy::learnOthersLoad(load, 2, start + Milliseconds(100) * i);
+            Policy::learnPeerReportedLoad(load, 2, start + Milliseconds(100) * i);
         const auto last = start + Milliseconds(1900);
-        Policy::learnOthersLoad(load, 6, last);
+        Policy::learnPeerReportedLoad(load, 6, last);
         const Milliseconds workTime(200);
         const auto at = [&](int ms) {
-            return Policy::othersLoadAt(load, workTime, last + Milliseconds(ms));
+            return Policy::peerReportedLoadAt(load, workTime, last + Milliseconds(ms));
         };
         CPPUNIT_ASSERT_DOUBLES_EQUAL(6, at(100), 0.1);
         CPPUNIT_ASSERT(at(600) < 4);
         CPPUNIT_ASSERT(at(1000) > 1.5);
         CPPUNIT_ASSERT(at(20000) < 0.2);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::othersLoadAt({}, workTime, start), 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::peerReportedLoadAt({}, workTime, start), 1e-9);
     }
 
     void onlyFreshReportsCountInAChoice()
     {
-        Policy::OthersLoad load;
-        Policy::learnOthersLoad(load, 6, start);
+        Policy::PeerReportedLoad load;
+        Policy::learnPeerReportedLoad(load, 6, start);
         const Milliseconds workTime(200);
         const auto at = [&](int ms) {
-            return Policy::freshOthersLoad(load, workTime, start + Milliseconds(ms));
+            return Policy::freshPeerReportedLoad(load, workTime, start + Milliseconds(ms));
         };
         CPPUNIT_ASSERT_DOUBLES_EQUAL(6, at(150), 1e-9);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, at(250), 1e-9);
@@ -163,14 +163,14 @@
                 now += Milliseconds(gapMs);
                 Policy::noteUse(use, now);
             }
-            return Policy::isSpareWorthwhile(use, life, now + Milliseconds(restMs));
+            return Policy::isIdleConnectionWorthwhile(use, life, now + Milliseconds(restMs));
         };
         CPPUNIT_ASSERT(worthwhile(3000, 10, 0));
         CPPUNIT_ASSERT(worthwhile(3000, 10, 5000));
         CPPUNIT_ASSERT(!worthwhile(10000, 10, 0));
         CPPUNIT_ASSERT(!worthwhile(3000, 1, 0));
         CPPUNIT_ASSERT(!worthwhile(3000, 10, 20000));
-        CPPUNIT_ASSERT(!Policy::isSpareWorthwhile({}, life, start));
+        CPPUNIT_ASSERT(!Policy::isIdleConnectionWorthwhile({}, life, start));
     }
 };
 
--- a/Tests/LibPolicy/TestLoadUpdate.cpp
+++ b/Tests/LibPolicy/TestLoadUpdate.cpp
@@ -30,8 +30,8 @@
         SharedLoad load;
         Policy::learnLoad(load, 2, slots, start + Milliseconds(200));
         Policy::learnLoad(load, 12, slots, start);
-        CPPUNIT_ASSERT(!Policy::isLoadNews(load, slots, start + Milliseconds(300)));
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, Policy::othersByNews(load, 1, start + Milliseconds(300)),
+        CPPUNIT_ASSERT(!Policy::shouldSendLoad(load, slots, start + Milliseconds(300)));
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, Policy::peerLoadByUpdates(load, 1, start + Milliseconds(300)),
                                      1e-9);
     }
 
@@ -39,13 +39,13 @@
     {
         SharedLoad load;
         Policy::learnLoad(load, 9, slots, start);
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::othersByNews(load, 0, start), 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::peerLoadByUpdates(load, 0, start), 1e-9);
         const auto later = start + Policy::loadReportLifetime;
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::othersByNews(load, 0, later), 1e-9);
-        CPPUNIT_ASSERT(!Policy::isLoadNews(load, slots, later));
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::peerLoadByUpdates(load, 0, later), 1e-9);
+        CPPUNIT_ASSERT(!Policy::shouldSendLoad(load, slots, later));
         // A report below this instance's own requests at the target must not give a negative
         // number.
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::othersByNews(load, 20, start), 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(0, Policy::peerLoadByUpdates(load, 20, start), 1e-9);
     }
 
     // A target is full for short moments. If each of them counted as an overloaded owner, objects
@@ -56,13 +56,13 @@
         for (int i = 0; i < 20; ++i) {
             const auto now = start + Milliseconds(500 * i);
             Policy::learnLoad(load, i % 3 == 0 ? 3 : 7, slots, now);
-            CPPUNIT_ASSERT(!Policy::isLastinglyFull(load, now));
+            CPPUNIT_ASSERT(!Policy::isPersistentlyFull(load, now));
         }
         for (int i = 20; i < 30; ++i)
             Policy::learnLoad(load, 7, slots, start + Milliseconds(500 * i));
         const auto now = start + Milliseconds(500 * 29);
-        CPPUNIT_ASSERT(Policy::isLastinglyFull(load, now));
-        CPPUNIT_ASSERT(!Policy::isLastinglyFull(load, now + Policy::loadReportLifetime));
+        CPPUNIT_ASSERT(Policy::isPersistentlyFull(load, now));
+        CPPUNIT_ASSERT(!Policy::isPersistentlyFull(load, now + Policy::loadReportLifetime));
     }
 
     void silenceEndsFullness()
@@ -71,7 +71,7 @@
         Policy::learnLoad(load, 7, slots, start);
         const auto later = start + 2 * Policy::persistentFullnessPeriod;
         Policy::learnLoad(load, 7, slots, later);
-        CPPUNIT_ASSERT(!Policy::isLastinglyFull(load, later));
+        CPPUNIT_ASSERT(!Policy::isPersistentlyFull(load, later));
     }
 
     void messagesStaySmall()
@@ -79,7 +79,7 @@
         std::vector<Policy::TargetLoad> loads;
         for (std::uint32_t i = 0; i < 1000; ++i)
             loads.push_back({i, 6, Milliseconds(1000 - i)});
-        Policy::keepLatest(loads);
+        Policy::keepLatestLoads(loads);
         CPPUNIT_ASSERT_EQUAL(Policy::maxLoadsPerMessage, loads.size());
         for (const auto &load : loads)
             CPPUNIT_ASSERT(load.age_ <= Milliseconds(static_cast<int>(Policy::maxLoadsPerMessage)));
--- a/Tests/LibPolicy/TestPlacement.cpp
+++ b/Tests/LibPolicy/TestPlacement.cpp
@@ -199,7 +199,7 @@
                 std::int64_t after = 0;
                 for (const std::int64_t own : inFlight) {
                     const double dither = *rc::gen::inRange(0, 100) / 100.0;
-                    const Policy::PoolNotes notes{slots, own, used - own, entries, dither};
+                    const Policy::PoolUsage notes{slots, own, used - own, entries, dither};
                     std::int64_t now = own;
                     while (Policy::mayFillShared(notes, now, limit))
                         ++now;
@@ -224,7 +224,7 @@
             for (int round = 0; round < 250 && used < 85; ++round) {
                 const std::int64_t before = used;
                 for (auto &own : inFlight) {
-                    const Policy::PoolNotes notes{slots, own, before - own, entries,
+                    const Policy::PoolUsage notes{slots, own, before - own, entries,
                                                   dither(random)};
                     const std::int64_t atNotes = own;
                     while (Policy::mayFillShared(notes, own, 0.85))
--- a/Tests/LibPolicy/TestTargetChoice.cpp
+++ b/Tests/LibPolicy/TestTargetChoice.cpp
@@ -89,7 +89,7 @@
 
     void workTimesSeparateWarmFromCold()
     {
-        auto times = Policy::firstWorkTimes(Milliseconds(400));
+        auto times = Policy::initialWorkTimes(Milliseconds(400));
         for (int i = 0; i < 200; ++i)
             Policy::learnWorkTime(times, Milliseconds(i % 4 == 0 ? 480 : 144), false);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(144000, times.warmUs_, 5000);
@@ -98,10 +98,10 @@
 
     void urgentRequestsAreTakenLonger()
     {
-        Policy::AdmissionCase request{Milliseconds(700), Milliseconds(1200), Milliseconds(300), 0};
+        Policy::AdmissionInputs request{Milliseconds(700), Milliseconds(1200), Milliseconds(300), 0};
         const auto judge = [&](int priority) {
             request.priority_ = priority;
-            return Policy::judgeAdmission(request, Milliseconds(300));
+            return Policy::evaluateAdmission(request, Milliseconds(300));
         };
         CPPUNIT_ASSERT(judge(0) == Policy::AdmissionVerdict::Take);
         CPPUNIT_ASSERT(judge(2) == Policy::AdmissionVerdict::NoRoom);
@@ -109,18 +109,18 @@
 
     void lateRequestsAreRefused()
     {
-        const Policy::AdmissionCase request{Milliseconds(900), Milliseconds(800), Milliseconds(300),
+        const Policy::AdmissionInputs request{Milliseconds(900), Milliseconds(800), Milliseconds(300),
                                             0};
-        CPPUNIT_ASSERT(Policy::judgeAdmission(request, Milliseconds(5000))
+        CPPUNIT_ASSERT(Policy::evaluateAdmission(request, Milliseconds(5000))
                        == Policy::AdmissionVerdict::TooLate);
     }
 
     void retriesOfRefusedCallersAreSpread()
     {
-        const auto early = Policy::returnAfter(Milliseconds(900), Milliseconds(300), 0);
-        const auto late = Policy::returnAfter(Milliseconds(900), Milliseconds(300), 0.99);
+        const auto early = Policy::refusalRetryDelay(Milliseconds(900), Milliseconds(300), 0);
+        const auto late = Policy::refusalRetryDelay(Milliseconds(900), Milliseconds(300), 0.99);
         CPPUNIT_ASSERT(late - early > Milliseconds(200));
-        CPPUNIT_ASSERT(Policy::returnAfter(Milliseconds(0), Milliseconds(300), 0)
+        CPPUNIT_ASSERT(Policy::refusalRetryDelay(Milliseconds(0), Milliseconds(300), 0)
                        > Milliseconds(0));
     }
 
@@ -134,11 +134,11 @@
                                  Model::Weight(*rc::gen::inRange(1, 100))});
                 sum += parts.back().weight_.value();
             }
-            Policy::PartTurns turns;
+            Policy::WeightedRoundRobin turns;
             std::vector<int> counts(3, 0);
             const int requests = *rc::gen::inRange(1, 500);
             for (int i = 0; i < requests; ++i)
-                ++counts[Policy::nextPart(turns, parts)];
+                ++counts[Policy::nextWeightedSplit(turns, parts)];
             for (std::size_t i = 0; i < 3; ++i)
                 RC_ASSERT(std::abs(counts[i] - requests * parts[i].weight_.value() / sum) <= 2.0);
         });
@@ -152,13 +152,13 @@
         Support::assertProperty("all entries together keep the limit in any second", [] {
             const Model::RequestsPerSecond limit(11);
             const auto holders = static_cast<std::size_t>(*rc::gen::inRange(1, 5));
-            std::vector<Policy::ColdRamp> ramps(holders);
+            std::vector<Policy::SlowStart> ramps(holders);
             for (auto &ramp : ramps)
-                Policy::startRamp(ramp, start);
+                Policy::beginSlowStart(ramp, start);
             std::vector<int> sentAt;
             for (int ms = 0; ms < 4000; ++ms) {
                 for (auto &ramp : ramps) {
-                    if (Policy::takeFromRamp(ramp, limit, holders, start + Milliseconds(ms)))
+                    if (Policy::takeSlowStartToken(ramp, limit, holders, start + Milliseconds(ms)))
                         sentAt.push_back(ms);
                 }
             }
--- a/Tests/LibSteering/LoadedTargets.cpp
+++ b/Tests/LibSteering/LoadedTargets.cpp
@@ -168,7 +168,7 @@
         release(work);
         TargetState &state = *work.placement_.target_;
         const std::int64_t others = inFlight - state.ownInFlight_;
-        Policy::learnOthersLoad(state.othersLoad_, std::max<double>(0, double(others)), now_);
+        Policy::learnPeerReportedLoad(state.othersLoad_, std::max<double>(0, double(others)), now_);
         Policy::learnLoad(state.sharedLoad_, double(inFlight), state.record_.slots_, now_);
         const auto took = now_ - work.sentAt_;
         results_[work.request_].took_ = std::chrono::duration_cast<Milliseconds>(took);
--- a/Tests/LibSteering/TestTargetRegistry.cpp
+++ b/Tests/LibSteering/TestTargetRegistry.cpp
@@ -227,7 +227,7 @@
         loads.push_back({12345, 9, Milliseconds(0)});
         receiver.book_.hearLoads(loads, receiver.now_);
         const auto &receivedLoad = stateIn(receiver)->sharedLoad_;
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::othersByNews(receivedLoad, 0, receiver.now_), 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::peerLoadByUpdates(receivedLoad, 0, receiver.now_), 1e-9);
         // A request would now have to wait there.
         const auto placed
             = receiver.placer_.place(Fakes::requestContext(receiver, "read", 7), receiver.now_);
