--- a/Libraries/LibPeers/Codec.cpp
+++ b/Libraries/LibPeers/Codec.cpp
@@ -235,7 +235,7 @@
     return summary;
 }
 
-cassiacrank::CrashNews toMessage(const Policy::CrashNews &update)
+cassiacrank::CrashNews toMessage(const Policy::CrashUpdate &update)
 {
     cassiacrank::CrashNews message;
     for (const auto &run : update.runs_) {
@@ -244,15 +244,15 @@
         report->set_age_ms(run.age_.count());
         for (const auto &suspect : run.suspects_) {
             auto *item = report->add_suspects();
-            item->set_request(suspect.print_.request_);
-            item->set_caller(suspect.print_.caller_);
+            item->set_request(suspect.fingerprint_.request_);
+            item->set_caller(suspect.fingerprint_.caller_);
             item->set_cleared(suspect.isCleared_);
         }
     }
     for (const auto &quarantine : update.quarantines_) {
         auto *report = message.add_quarantines();
-        report->set_request(quarantine.print_.request_);
-        report->set_caller(quarantine.print_.caller_);
+        report->set_request(quarantine.fingerprint_.request_);
+        report->set_caller(quarantine.fingerprint_.caller_);
         report->set_generation(quarantine.generation_);
         report->set_lifted(quarantine.lifted_);
         report->set_age_ms(quarantine.age_.count());
@@ -260,15 +260,15 @@
     return message;
 }
 
-Policy::CrashNews fromMessage(const cassiacrank::CrashNews &message)
+Policy::CrashUpdate fromMessage(const cassiacrank::CrashNews &message)
 {
     const auto ageOf = [](const auto &report) {
         return std::max(Model::Milliseconds(0), Model::Milliseconds(report.age_ms()));
     };
-    Policy::CrashNews update;
+    Policy::CrashUpdate update;
     for (const auto &report : message.runs()) {
-        Policy::ToldRun run;
-        run.run_ = Policy::RunKey(report.run());
+        Policy::CrashReport run;
+        run.run_ = Policy::TargetIncarnationKey(report.run());
         run.age_ = ageOf(report);
         for (const auto &suspect : report.suspects())
             run.suspects_.push_back({{suspect.request(), suspect.caller()}, suspect.cleared()});
--- a/Libraries/LibPeers/Codec.h
+++ b/Libraries/LibPeers/Codec.h
@@ -33,7 +33,7 @@
 cassiacrank::WalkedShares toMessage(const WalkedShares &walked);
 WalkedShares fromMessage(const cassiacrank::WalkedShares &message);
 
-cassiacrank::CrashNews toMessage(const Policy::CrashNews &update);
-Policy::CrashNews fromMessage(const cassiacrank::CrashNews &message);
+cassiacrank::CrashNews toMessage(const Policy::CrashUpdate &update);
+Policy::CrashUpdate fromMessage(const cassiacrank::CrashNews &message);
 
 } // namespace Peers
--- a/Libraries/LibPeers/Gossip.cpp
+++ b/Libraries/LibPeers/Gossip.cpp
@@ -94,7 +94,7 @@
                                   Model::SteadyTime now)
 {
     cassiacrank::PullRequest request;
-    *request.mutable_crashes() = toMessage(Policy::newsOf(state.crashes_, now));
+    *request.mutable_crashes() = toMessage(Policy::crashUpdateFrom(state.crashes_, now));
     *request.mutable_sender() = toMessage(state.self_);
     request.set_table_version(state.table_.version_.value());
     for (const auto &[region, summary] : state.members_.summaries_) {
@@ -120,7 +120,7 @@
     mergeRecord(state, request.sender(), now);
     Policy::takeIn(state.crashes_, fromMessage(request.crashes()), now);
     cassiacrank::PullAnswer answer;
-    *answer.mutable_crashes() = toMessage(Policy::newsOf(state.crashes_, now));
+    *answer.mutable_crashes() = toMessage(Policy::crashUpdateFrom(state.crashes_, now));
     *answer.mutable_responder() = toMessage(state.self_.instance_);
     answer.set_responder_ready(state.self_.isReady_);
     answer.set_table_version(state.table_.version_.value());
--- a/Libraries/LibPeers/Gossip.h
+++ b/Libraries/LibPeers/Gossip.h
@@ -12,7 +12,7 @@
     InstanceRecord self_;
     Members members_;
     Platform::TableMirror table_;
-    Policy::CrashBook crashes_;
+    Policy::CrashRecords crashes_;
 };
 
 /// Returns a request for the updates that \a state is missing. For a peer in another region it
--- a/Libraries/LibPeers/InstanceView.h
+++ b/Libraries/LibPeers/InstanceView.h
@@ -21,7 +21,7 @@
     std::vector<RegionSummary> summaries_;
     Policy::LeavingMarks marks_;
     /// The last update of crashed incarnations and quarantines from the control process.
-    Policy::CrashNews crashes_;
+    Policy::CrashUpdate crashes_;
     std::size_t fleetSize_ = 1;
 };
 
--- a/Libraries/LibPolicy/CrashEvidence.cpp
+++ b/Libraries/LibPolicy/CrashEvidence.cpp
@@ -17,19 +17,19 @@
 /// A request and the incarnations that crashed while processing it, sorted by their address.
 struct RequestEvidence
 {
-    RequestPrint print_;
+    RequestFingerprint fingerprint_;
     Crashes runs_;
 };
 
 /// Sorted by fingerprint.
 using Evidence = std::vector<RequestEvidence>;
 
-RequestPrint anyCaller(const RequestPrint &fingerprint)
+RequestFingerprint anyCaller(const RequestFingerprint &fingerprint)
 {
     return {fingerprint.request_, 0};
 }
 
-bool covers(const RequestPrint &quarantined, const RequestPrint &fingerprint)
+bool covers(const RequestFingerprint &quarantined, const RequestFingerprint &fingerprint)
 {
     return quarantined.request_ == fingerprint.request_
            && (quarantined.caller_ == 0 || quarantined.caller_ == fingerprint.caller_);
@@ -42,7 +42,7 @@
 
 /// Returns whether the request has an expired quarantine that was not released: one more crash
 /// renews it.
-bool hasExpiredQuarantine(const CrashBook &records, const RequestPrint &fingerprint, SteadyTime now)
+bool hasExpiredQuarantine(const CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
 {
     const auto found = records.quarantines_.find(fingerprint);
     return found != records.quarantines_.end() && found->second.generation_ > found->second.lifted_
@@ -51,14 +51,14 @@
 
 /// Returns whether another request than \a fingerprint that was in progress in \a crashed is
 /// quarantined.
-bool isExplained(const CrashBook &records, const CrashedIncarnation &crashed,
-                 const RequestPrint &fingerprint, SteadyTime now)
+bool isExplained(const CrashRecords &records, const CrashedIncarnation &crashed,
+                 const RequestFingerprint &fingerprint, SteadyTime now)
 {
     return std::any_of(
         crashed.suspects_.begin(), crashed.suspects_.end(), [&](const Suspect &suspect) {
-            if (suspect.isCleared_ || suspect.print_.request_ == fingerprint.request_)
+            if (suspect.isCleared_ || suspect.fingerprint_.request_ == fingerprint.request_)
                 return false;
-            for (const auto &quarantined : {suspect.print_, anyCaller(suspect.print_)}) {
+            for (const auto &quarantined : {suspect.fingerprint_, anyCaller(suspect.fingerprint_)}) {
                 const auto found = records.quarantines_.find(quarantined);
                 if (found != records.quarantines_.end() && isInForce(found->second, now))
                     return true;
@@ -74,27 +74,27 @@
 }
 
 /// Returns the suspects that are not cleared, each with an incarnation in which it was in progress.
-std::vector<std::pair<RequestPrint, const CrashedIncarnation *>>
-suspectsIn(const CrashBook &records)
+std::vector<std::pair<RequestFingerprint, const CrashedIncarnation *>>
+suspectsIn(const CrashRecords &records)
 {
-    std::vector<std::pair<RequestPrint, const CrashedIncarnation *>> all;
+    std::vector<std::pair<RequestFingerprint, const CrashedIncarnation *>> all;
     for (const auto &[key, crashed] : records.runs_) {
         for (const auto &suspect : crashed.suspects_) {
             if (!suspect.isCleared_)
-                all.emplace_back(suspect.print_, &crashed);
+                all.emplace_back(suspect.fingerprint_, &crashed);
         }
     }
     std::sort(all.begin(), all.end());
     return all;
 }
 
-std::set<std::uint64_t> answeredIn(const CrashBook &records)
+std::set<std::uint64_t> answeredIn(const CrashRecords &records)
 {
     std::set<std::uint64_t> answered;
     for (const auto &[key, crashed] : records.runs_) {
         for (const auto &suspect : crashed.suspects_) {
             if (suspect.isCleared_)
-                answered.insert(suspect.print_.request_);
+                answered.insert(suspect.fingerprint_.request_);
         }
     }
     return answered;
@@ -102,10 +102,10 @@
 
 /// Returns the requests that one more crash may quarantine: those with two crashes or an earlier
 /// quarantine.
-Evidence evidenceIn(const CrashBook &records)
+Evidence evidenceIn(const CrashRecords &records)
 {
     Evidence evidence;
-    const auto keep = [&](const RequestPrint &fingerprint, Crashes crashes) {
+    const auto keep = [&](const RequestFingerprint &fingerprint, Crashes crashes) {
         sortUnique(crashes);
         if (crashes.size() >= 2 || records.quarantines_.contains(fingerprint))
             evidence.push_back({fingerprint, std::move(crashes)});
@@ -118,7 +118,7 @@
         std::size_t callers = 0;
         std::vector<RequestEvidence> exact;
         while (first != all.end() && first->first.request_ == request) {
-            const RequestPrint fingerprint = first->first;
+            const RequestFingerprint fingerprint = first->first;
             Crashes crashes;
             for (; first != all.end() && first->first == fingerprint; ++first)
                 crashes.push_back(first->second);
@@ -130,7 +130,7 @@
         if (callers >= 2 && !answered.contains(request))
             keep({request, 0}, std::move(crashesOfAllCallers));
         for (auto &suspected : exact)
-            keep(suspected.print_, std::move(suspected.runs_));
+            keep(suspected.fingerprint_, std::move(suspected.runs_));
     }
     return evidence;
 }
@@ -159,7 +159,7 @@
 bool isOnlySuspect(const Evidence &evidence, const RequestEvidence &suspected)
 {
     return std::none_of(evidence.begin(), evidence.end(), [&](const RequestEvidence &other) {
-        if (other.print_.request_ == suspected.print_.request_ || other.runs_.size() < 2)
+        if (other.fingerprint_.request_ == suspected.fingerprint_.request_ || other.runs_.size() < 2)
             return false;
         const auto apart = std::count_if(
             suspected.runs_.begin(), suspected.runs_.end(), [&](const CrashedIncarnation *crashed) {
@@ -169,7 +169,7 @@
     });
 }
 
-void quarantineRequest(CrashBook &records, const RequestPrint &fingerprint, SteadyTime now)
+void quarantineRequest(CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
 {
     Quarantine &held = records.quarantines_[fingerprint];
     const auto last = std::max(held.generation_, held.lifted_);
@@ -182,13 +182,13 @@
 
 /// Returns the requests with enough evidence, those with the most crashes first, because they may
 /// explain the crashes of the others. A single caller's request precedes that of all callers.
-std::vector<RequestEvidence> candidatesIn(CrashBook &records, const Evidence &evidence,
+std::vector<RequestEvidence> candidatesIn(CrashRecords &records, const Evidence &evidence,
                                           SteadyTime now)
 {
-    std::map<RequestPrint, SteadyTime> pending;
+    std::map<RequestFingerprint, SteadyTime> pending;
     std::vector<RequestEvidence> candidates;
     for (const auto &suspected : evidence) {
-        const auto &fingerprint = suspected.print_;
+        const auto &fingerprint = suspected.fingerprint_;
         const auto found = records.quarantines_.find(fingerprint);
         if (found != records.quarantines_.end() && isInForce(found->second, now))
             continue;
@@ -210,66 +210,66 @@
     records.pending_ = std::move(pending);
     std::stable_sort(candidates.begin(), candidates.end(),
                      [](const RequestEvidence &a, const RequestEvidence &b) {
-                         const bool isAnyA = a.print_.caller_ == 0;
-                         const bool isAnyB = b.print_.caller_ == 0;
+                         const bool isAnyA = a.fingerprint_.caller_ == 0;
+                         const bool isAnyB = b.fingerprint_.caller_ == 0;
                          return isAnyA != isAnyB ? isAnyB : a.runs_.size() > b.runs_.size();
                      });
     return candidates;
 }
 
 /// Quarantines one request, if there is one with enough evidence.
-std::optional<RequestPrint> quarantineOne(CrashBook &records, const Evidence &evidence,
+std::optional<RequestFingerprint> quarantineOne(CrashRecords &records, const Evidence &evidence,
                                           SteadyTime now)
 {
     for (const auto &candidate : candidatesIn(records, evidence, now)) {
-        const bool isSettled = now - records.pending_.at(candidate.print_) >= settleTime;
+        const bool isSettled = now - records.pending_.at(candidate.fingerprint_) >= settleTime;
         const bool isShared = !isOnlySuspect(evidence, candidate)
                               && countCrashTimes(candidate.runs_) < crashTimesForSharedQuarantine;
         if (!isSettled || isShared)
             continue;
-        quarantineRequest(records, candidate.print_, now);
-        return candidate.print_;
+        quarantineRequest(records, candidate.fingerprint_, now);
+        return candidate.fingerprint_;
     }
     return std::nullopt;
 }
 
 /// Releases recent quarantines of requests that were only in progress together with another
 /// quarantined one.
-void reconsiderRecent(CrashBook &records, const Evidence &evidence, Verdicts &verdicts,
+void reconsiderRecent(CrashRecords &records, const Evidence &evidence, QuarantineChanges &verdicts,
                       SteadyTime now)
 {
     const auto isQuarantined = [&](const RequestEvidence &suspected) {
-        const auto found = records.quarantines_.find(suspected.print_);
+        const auto found = records.quarantines_.find(suspected.fingerprint_);
         return found != records.quarantines_.end() && isInForce(found->second, now);
     };
     for (const auto &suspected : evidence) {
         if (!isQuarantined(suspected))
             continue;
-        Quarantine &quarantine = records.quarantines_.at(suspected.print_);
+        Quarantine &quarantine = records.quarantines_.at(suspected.fingerprint_);
         if (now - quarantine.since_ > reconsiderationTime)
             continue;
         const Crashes &crashes = suspected.runs_;
         const bool isExplainedByOther
             = std::any_of(evidence.begin(), evidence.end(), [&](const RequestEvidence &other) {
                   const Crashes &more = other.runs_;
-                  return other.print_.request_ != suspected.print_.request_
+                  return other.fingerprint_.request_ != suspected.fingerprint_.request_
                          && more.size() >= crashes.size() + 2 && isQuarantined(other)
                          && std::includes(more.begin(), more.end(), crashes.begin(), crashes.end());
               });
         if (!isExplainedByOther)
             continue;
         quarantine.lifted_ = quarantine.generation_;
-        verdicts.lifted_.push_back(suspected.print_);
+        verdicts.lifted_.push_back(suspected.fingerprint_);
         records.isChanged_ = true;
     }
 }
 
-void forgetOld(CrashBook &records, SteadyTime now)
+void forgetOld(CrashRecords &records, SteadyTime now)
 {
     std::erase_if(records.runs_, [&](const auto &entry) {
         return now - entry.second.endedAt_ > firstQuarantine;
     });
-    while (records.runs_.size() > mostRuns) {
+    while (records.runs_.size() > maxCrashedIncarnations) {
         records.runs_.erase(std::min_element(records.runs_.begin(), records.runs_.end(),
                                              [](const auto &a, const auto &b) {
                                                  return a.second.endedAt_ < b.second.endedAt_;
@@ -295,12 +295,12 @@
 
 } // namespace
 
-RunKey runKeyOf(const Model::TargetId &target, Model::Incarnation incarnation)
+TargetIncarnationKey targetIncarnationKeyOf(const Model::TargetId &target, Model::Incarnation incarnation)
 {
-    return RunKey(ownerScore(seedOf(target.value()), incarnation.value()));
+    return TargetIncarnationKey(ownerScore(seedOf(target.value()), incarnation.value()));
 }
 
-void noteEnded(CrashBook &records, RunKey crashed, const std::vector<RequestPrint> &fingerprints,
+void noteEnded(CrashRecords &records, TargetIncarnationKey crashed, const std::vector<RequestFingerprint> &fingerprints,
                SteadyTime now)
 {
     const auto [found, isNew] = records.runs_.try_emplace(crashed);
@@ -313,23 +313,23 @@
     for (const auto &fingerprint : fingerprints) {
         const bool isKnown = std::any_of(ended.suspects_.begin(), ended.suspects_.end(),
                                          [&](const Suspect &suspect) {
-                                             return suspect.print_ == fingerprint;
+                                             return suspect.fingerprint_ == fingerprint;
                                          });
-        if (isKnown || ended.suspects_.size() >= mostSuspects)
+        if (isKnown || ended.suspects_.size() >= maxSuspectsPerCrash)
             continue;
         ended.suspects_.push_back({fingerprint, false});
         ended.changedAt_ = now;
         records.isChanged_ = true;
     }
-    if (records.runs_.size() > mostRuns)
+    if (records.runs_.size() > maxCrashedIncarnations)
         forgetOld(records, now);
 }
 
-bool liftQuarantine(CrashBook &records, const RequestPrint &fingerprint, SteadyTime now)
+bool liftQuarantine(CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
 {
     for (auto &[key, crashed] : records.runs_) {
         for (auto &suspect : crashed.suspects_) {
-            if (!covers(fingerprint, suspect.print_) || suspect.isCleared_)
+            if (!covers(fingerprint, suspect.fingerprint_) || suspect.isCleared_)
                 continue;
             suspect.isCleared_ = true;
             crashed.changedAt_ = now;
@@ -346,7 +346,7 @@
     return wasInForce;
 }
 
-bool noteAnswered(CrashBook &records, const RequestPrint &fingerprint, SteadyTime now)
+bool noteAnswered(CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
 {
     const bool isExactLifted = liftQuarantine(records, fingerprint, now);
     const auto any = records.quarantines_.find(anyCaller(fingerprint));
@@ -358,9 +358,9 @@
     return true;
 }
 
-Verdicts judge(CrashBook &records, SteadyTime now)
+QuarantineChanges judge(CrashRecords &records, SteadyTime now)
 {
-    Verdicts verdicts;
+    QuarantineChanges verdicts;
     forgetOld(records, now);
     const Evidence evidence = evidenceIn(records);
     while (const auto fingerprint = quarantineOne(records, evidence, now))
@@ -379,11 +379,11 @@
     return quarantine.since_ + std::min(length, maxQuarantineDuration);
 }
 
-CrashView viewOf(const CrashBook &records, SteadyTime now)
+CrashView viewOf(const CrashRecords &records, SteadyTime now)
 {
     CrashView view;
     for (const auto &accusation : suspectsIn(records))
-        view.prefixes_.push_back(headOf(accusation.first));
+        view.prefixes_.push_back(fingerprintPrefixOf(accusation.first));
     for (const auto &[fingerprint, crashes] : evidenceIn(records)) {
         const auto pending = records.pending_.find(fingerprint);
         if (pending != records.pending_.end() && now - pending->second < settleTime) {
@@ -392,13 +392,13 @@
                                                    pending->second + settleTime});
         } else if (countCrashTimes(crashes) >= crashTimesForProbe) {
             view.entries_.emplace(fingerprint.request_,
-                                  CrashView::Entry{fingerprint, RequestStanding::Trial, now});
+                                  CrashView::Entry{fingerprint, RequestStanding::SerializedProbe, now});
         }
     }
     for (const auto &[fingerprint, quarantine] : records.quarantines_) {
         if (!isInForce(quarantine, now))
             continue;
-        view.prefixes_.push_back(headOf(fingerprint));
+        view.prefixes_.push_back(fingerprintPrefixOf(fingerprint));
         view.entries_.emplace(
             fingerprint.request_,
             CrashView::Entry{fingerprint, RequestStanding::Quarantined, inForceUntil(quarantine)});
@@ -409,18 +409,18 @@
     return view;
 }
 
-CurrentStanding standingOf(const CrashView &view, const RequestPrint &fingerprint, SteadyTime now)
+CurrentStanding standingOf(const CrashView &view, const RequestFingerprint &fingerprint, SteadyTime now)
 {
     CurrentStanding result;
     const auto [first, last] = view.entries_.equal_range(fingerprint.request_);
     for (auto entry = first; entry != last; ++entry) {
         const CrashView::Entry &held = entry->second;
-        if (!covers(held.print_, fingerprint))
+        if (!covers(held.fingerprint_, fingerprint))
             continue;
         auto standing = held.standing_;
         const bool isOver = now >= held.until_;
         if (isOver && standing == RequestStanding::Pending)
-            standing = RequestStanding::Trial;
+            standing = RequestStanding::SerializedProbe;
         if (isOver && standing == RequestStanding::Quarantined)
             standing = RequestStanding::Free;
         if (standing > result.standing_)
--- a/Libraries/LibPolicy/CrashEvidence.h
+++ b/Libraries/LibPolicy/CrashEvidence.h
@@ -14,15 +14,15 @@
 namespace Policy {
 
 /// Identifies one incarnation of a target: a hash of the target's id and its incarnation.
-using RunKey = Model::StrongNumber<struct RunKeyTag, std::uint64_t>;
+using TargetIncarnationKey = Model::StrongNumber<struct TargetIncarnationKeyTag, std::uint64_t>;
 
 /// Returns the key of an incarnation of a target. Thread safety: any thread.
-RunKey runKeyOf(const Model::TargetId &target, Model::Incarnation incarnation);
+TargetIncarnationKey targetIncarnationKeyOf(const Model::TargetId &target, Model::Incarnation incarnation);
 
 /// A request that was in progress when an incarnation crashed.
 struct Suspect
 {
-    RequestPrint print_;
+    RequestFingerprint fingerprint_;
     /// A target has answered it since, so it does not crash targets. Never reset.
     bool isCleared_ = false;
 };
@@ -50,19 +50,19 @@
 /// their records; the order of arrival makes no difference.
 ///
 /// Thread safety: none.
-struct CrashBook
+struct CrashRecords
 {
-    std::map<RunKey, CrashedIncarnation> runs_;
-    std::map<RequestPrint, Quarantine> quarantines_;
+    std::map<TargetIncarnationKey, CrashedIncarnation> runs_;
+    std::map<RequestFingerprint, Quarantine> quarantines_;
     /// When the evidence against a request first sufficed; the decision follows after settleTime.
-    std::map<RequestPrint, Model::SteadyTime> pending_;
+    std::map<RequestFingerprint, Model::SteadyTime> pending_;
     /// Set by every change to the records; the code that acts on the change resets it.
     bool isChanged_ = false;
 };
 
-/// Upper bounds on the entries of a CrashBook; beyond them the oldest are dropped.
-constexpr std::size_t mostRuns = 128;
-constexpr std::size_t mostSuspects = 48;
+/// Upper bounds on the entries of a CrashRecords; beyond them the oldest are dropped.
+constexpr std::size_t maxCrashedIncarnations = 128;
+constexpr std::size_t maxSuspectsPerCrash = 48;
 constexpr std::size_t maxQuarantines = 256;
 
 /// Crashes count as evidence for this duration, and a first quarantine lasts this long from the
@@ -83,33 +83,33 @@
 constexpr Model::Milliseconds settleTime{600};
 /// Requests that lost their connection to a target are attributed to its crash if the crash is
 /// detected within this time.
-constexpr Model::Milliseconds lossMemory{3000};
+constexpr Model::Milliseconds connectionLossWindow{3000};
 /// Retry delay of a request that waits for the serialized probe of another one.
-constexpr Model::Milliseconds comeBackFromTrial{300};
+constexpr Model::Milliseconds serializedProbeRetryDelay{300};
 /// Unchanged records are reviewed for expired entries at this interval.
-constexpr Model::Milliseconds reviewPause{1000};
+constexpr Model::Milliseconds crashReviewInterval{1000};
 /// A quarantine decision can be reconsidered on other instances' reports within this time.
 constexpr Model::Milliseconds reconsiderationTime{5000};
 
 /// Records that the incarnation \a crashed ended while requests with \a fingerprints were in
 /// progress there. Reports with the same key are merged. Thread safety: \a records belongs to the
 /// calling thread.
-void noteEnded(CrashBook &records, RunKey crashed, const std::vector<RequestPrint> &fingerprints,
+void noteEnded(CrashRecords &records, TargetIncarnationKey crashed, const std::vector<RequestFingerprint> &fingerprints,
                Model::SteadyTime now);
 
 /// Records that a target answered a request: clears it in all incarnations and releases its
 /// quarantine. Returns whether a quarantine was released. Thread safety: as above.
-bool noteAnswered(CrashBook &records, const RequestPrint &fingerprint, Model::SteadyTime now);
+bool noteAnswered(CrashRecords &records, const RequestFingerprint &fingerprint, Model::SteadyTime now);
 
 /// Releases the quarantine of \a fingerprint on an operator's request. Returns whether one was in
 /// force. Thread safety: as above.
-bool liftQuarantine(CrashBook &records, const RequestPrint &fingerprint, Model::SteadyTime now);
+bool liftQuarantine(CrashRecords &records, const RequestFingerprint &fingerprint, Model::SteadyTime now);
 
 /// The changes that judge() made.
-struct Verdicts
+struct QuarantineChanges
 {
-    std::vector<RequestPrint> quarantined_;
-    std::vector<RequestPrint> lifted_;
+    std::vector<RequestFingerprint> quarantined_;
+    std::vector<RequestFingerprint> lifted_;
 };
 
 /// Decides which requests crash targets, and drops expired records.
@@ -118,7 +118,7 @@
 /// target has answered it, and no other request was in progress in nearly all of those crashes.
 /// Crashes that involve a quarantined request are no evidence against the others. Thread safety: as
 /// above.
-Verdicts judge(CrashBook &records, Model::SteadyTime now);
+QuarantineChanges judge(CrashRecords &records, Model::SteadyTime now);
 
 /// Returns when a quarantine that has not been released expires; a time in the past otherwise.
 /// Thread safety: any thread.
@@ -129,24 +129,24 @@
     Free,
     /// Targets crashed while processing it: one such request at a time is sent, so that further
     /// crashes can be attributed to a single request.
-    Trial,
+    SerializedProbe,
     /// The evidence suffices; the quarantine decision is due within settleTime.
     Pending,
     Quarantined,
 };
 
-/// A read-only index of a CrashBook against which requests are checked.
+/// A read-only index of a CrashRecords against which requests are checked.
 struct CrashView
 {
     struct Entry
     {
-        RequestPrint print_;
+        RequestFingerprint fingerprint_;
         RequestStanding standing_ = RequestStanding::Free;
         Model::SteadyTime until_;
     };
     /// The fingerprint prefixes of all suspects and of all quarantined requests, sorted.
     std::vector<std::uint32_t> prefixes_;
-    /// Requests that are not Free, by RequestPrint::request_.
+    /// Requests that are not Free, by RequestFingerprint::request_.
     std::unordered_multimap<std::uint64_t, Entry> entries_;
 
     bool isEmpty() const { return prefixes_.empty(); }
@@ -160,7 +160,7 @@
 
 /// Returns the index of \a records at \a now.
 /// Thread safety: any thread.
-CrashView viewOf(const CrashBook &records, Model::SteadyTime now);
+CrashView viewOf(const CrashRecords &records, Model::SteadyTime now);
 
 struct CurrentStanding
 {
@@ -170,7 +170,7 @@
 };
 
 /// Returns how a request with \a fingerprint may be sent. Thread safety: any thread.
-CurrentStanding standingOf(const CrashView &view, const RequestPrint &fingerprint,
+CurrentStanding standingOf(const CrashView &view, const RequestFingerprint &fingerprint,
                            Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/CrashUpdate.cpp
+++ b/Libraries/LibPolicy/CrashUpdate.cpp
@@ -27,15 +27,15 @@
     items.resize(most);
 }
 
-bool mergeCrash(CrashBook &records, const ToldRun &received, SteadyTime now)
+bool mergeCrash(CrashRecords &records, const CrashReport &received, SteadyTime now)
 {
     if (received.age_ > firstQuarantine)
         return false;
     const bool wasChanged = std::exchange(records.isChanged_, false);
-    std::vector<RequestPrint> fingerprints;
-    const auto count = std::min(received.suspects_.size(), mostSuspects);
+    std::vector<RequestFingerprint> fingerprints;
+    const auto count = std::min(received.suspects_.size(), maxSuspectsPerCrash);
     for (std::size_t i = 0; i < count; ++i)
-        fingerprints.push_back(received.suspects_[i].print_);
+        fingerprints.push_back(received.suspects_[i].fingerprint_);
     noteEnded(records, received.run_, fingerprints, now);
     bool hasChanged = std::exchange(records.isChanged_, wasChanged);
     const auto found = records.runs_.find(received.run_);
@@ -47,7 +47,7 @@
     for (std::size_t i = 0; i < count; ++i) {
         for (auto &suspect : crashed.suspects_) {
             const bool isCleared = received.suspects_[i].isCleared_ && !suspect.isCleared_
-                                   && suspect.print_ == received.suspects_[i].print_;
+                                   && suspect.fingerprint_ == received.suspects_[i].fingerprint_;
             if (!isCleared)
                 continue;
             suspect.isCleared_ = true;
@@ -59,10 +59,10 @@
     return hasChanged;
 }
 
-bool mergeQuarantine(CrashBook &records, const ToldQuarantine &received, SteadyTime now)
+bool mergeQuarantine(CrashRecords &records, const QuarantineReport &received, SteadyTime now)
 {
     const auto since = now - std::clamp(received.age_, Milliseconds(0), maxQuarantineDuration);
-    const auto [found, isNew] = records.quarantines_.try_emplace(received.print_);
+    const auto [found, isNew] = records.quarantines_.try_emplace(received.fingerprint_);
     Quarantine &held = found->second;
     bool hasChanged = isNew || received.generation_ > held.generation_;
     if (hasChanged) {
@@ -75,7 +75,7 @@
         hasChanged = true;
         // The evidence behind the released quarantine must not renew it.
         if (received.lifted_ >= held.generation_)
-            liftQuarantine(records, received.print_, now);
+            liftQuarantine(records, received.fingerprint_, now);
         held.lifted_ = received.lifted_;
     }
     records.isChanged_ |= hasChanged;
@@ -84,9 +84,9 @@
 
 } // namespace
 
-CrashNews newsOf(const CrashBook &records, SteadyTime now)
+CrashUpdate crashUpdateFrom(const CrashRecords &records, SteadyTime now)
 {
-    CrashNews update;
+    CrashUpdate update;
     for (const auto &[key, crashed] : records.runs_) {
         if (now - crashed.changedAt_ <= crashSendTime)
             update.runs_.push_back({key, ageOf(crashed.endedAt_, now), crashed.suspects_});
@@ -100,7 +100,7 @@
     return update;
 }
 
-bool takeIn(CrashBook &records, const CrashNews &update, SteadyTime now)
+bool takeIn(CrashRecords &records, const CrashUpdate &update, SteadyTime now)
 {
     bool hasChanged = false;
     const auto crashes = std::min(update.runs_.size(), maxCrashesInUpdate);
--- a/Libraries/LibPolicy/CrashUpdate.h
+++ b/Libraries/LibPolicy/CrashUpdate.h
@@ -5,28 +5,28 @@
 namespace Policy {
 
 /// A crashed incarnation as exchanged between instances.
-struct ToldRun
+struct CrashReport
 {
-    RunKey run_;
+    TargetIncarnationKey run_;
     /// Time since the crash.
     Model::Milliseconds age_{0};
     std::vector<Suspect> suspects_;
 };
 
 /// A quarantine decision as exchanged between instances.
-struct ToldQuarantine
+struct QuarantineReport
 {
-    RequestPrint print_;
+    RequestFingerprint fingerprint_;
     std::uint32_t generation_ = 1;
     std::uint32_t lifted_ = 0;
     /// Time since the decision.
     Model::Milliseconds age_{0};
 };
 
-struct CrashNews
+struct CrashUpdate
 {
-    std::vector<ToldRun> runs_;
-    std::vector<ToldQuarantine> quarantines_;
+    std::vector<CrashReport> runs_;
+    std::vector<QuarantineReport> quarantines_;
 
     bool isEmpty() const { return runs_.empty() && quarantines_.empty(); }
 };
@@ -40,11 +40,11 @@
 constexpr Model::Milliseconds crashSendTime{6000};
 
 /// Returns the update on \a records to send to other instances. Thread safety: any thread.
-CrashNews newsOf(const CrashBook &records, Model::SteadyTime now);
+CrashUpdate crashUpdateFrom(const CrashRecords &records, Model::SteadyTime now);
 
 /// Merges an update from another instance; entries beyond the limits of a message are ignored.
 /// Idempotent and independent of the order of updates. Returns whether anything changed.
 /// Thread safety: \a records belongs to the calling thread.
-bool takeIn(CrashBook &records, const CrashNews &update, Model::SteadyTime now);
+bool takeIn(CrashRecords &records, const CrashUpdate &update, Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Dissemination.cpp
+++ b/Libraries/LibPolicy/Dissemination.cpp
@@ -57,11 +57,11 @@
     return mark != marks.marks_.end() && incarnation <= mark->second;
 }
 
-bool mayServe(const StartKnowledge &knowledge)
+bool mayServe(const StartupState &knowledge)
 {
     if (knowledge.heldVersion_ == Model::TableVersion(0))
         return false;
-    const bool isStoreEnough = knowledge.storeAnswered_ && knowledge.peersHadTheirSay_
+    const bool isStoreEnough = knowledge.storeAnswered_ && knowledge.peersAnswered_
                                && knowledge.heldVersion_ >= knowledge.storeVersion_;
     if (!isStoreEnough && knowledge.peerVersions_.size() < domainsNeededToStart)
         return false;
--- a/Libraries/LibPolicy/Dissemination.h
+++ b/Libraries/LibPolicy/Dissemination.h
@@ -44,11 +44,11 @@
                Model::Incarnation incarnation);
 
 /// What a starting instance has received.
-struct StartKnowledge
+struct StartupState
 {
     bool storeAnswered_ = false;
-    /// A peer answered, ready or not, or none did within startPatience.
-    bool peersHadTheirSay_ = false;
+    /// A peer answered, ready or not, or none did within startAloneDelay.
+    bool peersAnswered_ = false;
     Model::TableVersion storeVersion_;
     Model::TableVersion heldVersion_;
     /// Failure domains other than the local one whose peers answered, each with its highest
@@ -60,7 +60,7 @@
 constexpr std::size_t domainsNeededToStart = 2;
 
 /// Where the store answers but no peer does, an instance starts alone after this delay.
-constexpr Model::Milliseconds startPatience{2000};
+constexpr Model::Milliseconds startAloneDelay{2000};
 
 /// Returns whether a fresh instance may serve: it has an answer from the store and from its peers,
 /// or from peers in more than one failure domain, and holds the highest version that any of them
@@ -69,6 +69,6 @@
 /// Without this check, an instance that starts while the store is down serves an old table from one
 /// lagging peer, so an accepted edit reverts there; or a lagging replica of the store answers
 /// first, and the instance serves its table until the peers answer. Thread safety: any thread.
-bool mayServe(const StartKnowledge &knowledge);
+bool mayServe(const StartupState &knowledge);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/DomainPicker.cpp
+++ b/Libraries/LibPolicy/DomainPicker.cpp
@@ -27,7 +27,7 @@
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < views.size(); ++i) {
-        const bool canTake = views[i].isUsable_ && views[i].hasFreeSlot_ && views[i].isNear_;
+        const bool canTake = views[i].isUsable_ && views[i].hasFreeSlot_ && views[i].isInLocalRegion_;
         if (!canTake || shares.shares_[i] <= negligible)
             continue;
         if (credits.credits_[i] - 1 < -maximumDebt)
@@ -71,7 +71,7 @@
         credits.credits_[chosen] -= 1;
         return {DomainVerdict::ShiftLimited, chosen};
     }
-    if (views[chosen].isNear_ && !views[chosen].hasFreeSlot_)
+    if (views[chosen].isInLocalRegion_ && !views[chosen].hasFreeSlot_)
         chosen = substituteDomain(credits, shares, views, maximumDebt).value_or(chosen);
     credits.credits_[chosen] -= 1;
     forgetOldCredits(credits, shares, maximumDebt);
--- a/Libraries/LibPolicy/DomainPicker.h
+++ b/Libraries/LibPolicy/DomainPicker.h
@@ -23,7 +23,7 @@
     /// A slot is probably free.
     bool hasFreeSlot_ = false;
     /// It lies in this entry's region, whose free slots are known.
-    bool isNear_ = false;
+    bool isInLocalRegion_ = false;
 };
 
 enum class DomainVerdict { Chosen, ShiftLimited, NoneUsable };
@@ -38,8 +38,8 @@
 /// idle while a request waits. While the shares shift, the deviation must be small compared to the
 /// cap; while they are stable, later requests compensate for it and it is no shift.
 /// docs/design/capacity.md has the figures.
-constexpr double debtWhileMoving = 2.0;
-constexpr double debtWhileStanding = 16.0;
+constexpr double maxDebtWhileShifting = 2.0;
+constexpr double maxDebtWhileStable = 16.0;
 
 /// Chooses the failure domain of the next request so that the counts follow \a shares with the
 /// least deviation, and records the choice in \a credits.
--- a/Libraries/LibPolicy/EntryFailures.cpp
+++ b/Libraries/LibPolicy/EntryFailures.cpp
@@ -4,7 +4,7 @@
 
 void noteEntryLost(EntryFailures &failures, const Model::Address &address, Model::SteadyTime now)
 {
-    failures.notBefore_[address] = now + lostEntryPause;
+    failures.notBefore_[address] = now + lostEntryProbeInterval;
 }
 
 void noteEntryAnswered(EntryFailures &failures, const Model::Address &address)
--- a/Libraries/LibPolicy/EntryFailures.h
+++ b/Libraries/LibPolicy/EntryFailures.h
@@ -16,7 +16,7 @@
 };
 
 /// A lost entry is probed with one request after this delay.
-constexpr Model::Milliseconds lostEntryPause{1000};
+constexpr Model::Milliseconds lostEntryProbeInterval{1000};
 
 /// Records that the entry at \a address was lost, or that it answered.
 /// Thread safety: \a failures belongs to the calling thread.
@@ -29,7 +29,7 @@
 /// Without this, each request for a region is sent to a failed entry until the region's last report
 /// expires; it may have arrived there, and its outcome is unknown. A request that is not sent is
 /// certainly not run, so the caller may retry it. A lost entry that is due for a probe is chosen
-/// once per lostEntryPause, when no other entry is left.
+/// once per lostEntryProbeInterval, when no other entry is left.
 /// Thread safety: \a failures belongs to the calling thread.
 std::optional<std::size_t> chooseEntry(EntryFailures &failures,
                                        const std::vector<Model::Instance> &entries,
--- a/Libraries/LibPolicy/LeaveSpans.cpp
+++ b/Libraries/LibPolicy/LeaveSpans.cpp
@@ -5,56 +5,56 @@
 std::vector<LeaveSpan> leavePathByLocalCall()
 {
     return {
-        {"gather", gatherTargets},
+        {"gather", targetBatchDelay},
         {"store_answer", storeAnswer},
         {"watch", tickPeriod},
-        {"send", sendPatience},
+        {"send", sendToLeavingTimeout},
     };
 }
 
 std::vector<LeaveSpan> leavePathByNewCall()
 {
     return {
-        {"gather", gatherTargets},
+        {"gather", targetBatchDelay},
         {"store_answer", storeAnswer},
-        {"peer_rounds", gossipRoundsInSmallFleet * peerRound},
-        {"reader_patience", readerPatience},
+        {"peer_rounds", gossipRoundsInSmallFleet * gossipRoundInterval},
+        {"reader_patience", readerCallTimeout},
         {"tick", tickPeriod},
         {"new_store_answer", storeAnswerOnNewConnection},
         {"watch", tickPeriod},
-        {"send", sendPatience},
+        {"send", sendToLeavingTimeout},
     };
 }
 
 std::vector<LeaveSpan> leavePathWithoutAnnouncement()
 {
     return {
-        {"gather", gatherTargets}, {"store_answer", storeAnswer}, {"grace", unseenLapseGrace},
-        {"tick", tickPeriod},      {"watch", tickPeriod},         {"send", sendPatience},
+        {"gather", targetBatchDelay}, {"store_answer", storeAnswer}, {"grace", unobservedExpiryGrace},
+        {"tick", tickPeriod},      {"watch", tickPeriod},         {"send", sendToLeavingTimeout},
     };
 }
 
 std::vector<LeaveSpan> leavePathByPeers()
 {
     return {
-        {"gather_in_reserve", gatherInReserve},
+        {"gather_in_reserve", standbyBatchDelay},
         {"store_answer", storeAnswer},
         {"announcements", announcementHops * announcementHop},
-        {"fetch_patience", fetchPatience},
+        {"fetch_patience", rowFetchTimeout},
         {"tick", tickPeriod},
         {"second_fetch", fetchAnswer},
         {"watch", tickPeriod},
-        {"send", sendPatience},
+        {"send", sendToLeavingTimeout},
     };
 }
 
 std::vector<LeaveSpan> leavePathByProbes()
 {
     return {
-        {"probe_pauses", (maxLostProbes + 1) * probePause},
+        {"probe_pauses", (maxLostProbes + 1) * targetProbeInterval},
         {"probe", probeTimeout},
         {"watch", tickPeriod},
-        {"send", sendPatience},
+        {"send", sendToLeavingTimeout},
     };
 }
 
--- a/Libraries/LibPolicy/LeaveSpans.h
+++ b/Libraries/LibPolicy/LeaveSpans.h
@@ -13,16 +13,16 @@
 
 /// After a change to the targets, further changes are batched for this duration: a release causes
 /// a change every few hundred milliseconds, and each call is billed.
-constexpr Model::Milliseconds gatherTargets{500};
+constexpr Model::Milliseconds targetBatchDelay{500};
 /// The same for a standby reader of the store, which updates its region when the active reader has
 /// failed or its call hangs.
-constexpr Model::Milliseconds gatherInReserve{1500};
+constexpr Model::Milliseconds standbyBatchDelay{1500};
 /// The store's answer to a call for which it has changes, between the regions farthest apart.
 constexpr Model::Milliseconds storeAnswer{200};
 /// Connection setup and that answer.
 constexpr Model::Milliseconds storeAnswerOnNewConnection{300};
 /// The interval between an instance's gossip rounds.
-constexpr Model::Milliseconds peerRound{400};
+constexpr Model::Milliseconds gossipRoundInterval{400};
 /// Rounds after which an instance of a small fleet has reached a live peer of its region, even if
 /// the peers of one round have all stopped.
 constexpr int gossipRoundsInSmallFleet = 2;
@@ -32,16 +32,16 @@
 constexpr Model::Milliseconds announcementHop{100};
 /// A store reader that learns of newer rows while its own call waits considers the call failed
 /// after this time.
-constexpr Model::Milliseconds readerPatience{200};
+constexpr Model::Milliseconds readerCallTimeout{200};
 /// When a peer has not sent its rows within this time, another peer is asked too.
-constexpr Model::Milliseconds fetchPatience{300};
+constexpr Model::Milliseconds rowFetchTimeout{300};
 /// The time that a peer of the same region takes to send its rows.
 constexpr Model::Milliseconds fetchAnswer{200};
 /// The interval at which an instance checks for targets that may no longer be used, and for
 /// requests that are still being sent to them.
 constexpr Model::Milliseconds tickPeriod{100};
 /// The longest time that a request may still be sent to a target whose leave is known.
-constexpr Model::Milliseconds sendPatience{200};
+constexpr Model::Milliseconds sendToLeavingTimeout{200};
 
 /// A named step of a path. Each path below is returned from its first step to its last.
 /// Thread safety: any thread.
@@ -67,7 +67,7 @@
 std::vector<LeaveSpan> leavePathByPeers();
 
 /// The three daemons: an entry learns of a leave from the target itself, regardless of the store.
-constexpr Model::Milliseconds probePause{500};
+constexpr Model::Milliseconds targetProbeInterval{500};
 constexpr Model::Milliseconds probeTimeout{400};
 /// Consecutive probes that may be lost while the target still answers.
 constexpr int maxLostProbes = 2;
--- a/Libraries/LibPolicy/Liveness.cpp
+++ b/Libraries/LibPolicy/Liveness.cpp
@@ -11,70 +11,70 @@
 /// silent, and any report on it is older than the known one.
 bool isLaterIncarnation(const Member &reported, const Member &known, Model::SteadyTime heardAt)
 {
-    if (reported.pulse_.incarnation_ > known.pulse_.incarnation_)
-        return heardAt >= known.heardAt_;
-    return heardAt - known.heardAt_ > aliveFor;
+    if (reported.heartbeatRecord_.incarnation_ > known.heartbeatRecord_.incarnation_)
+        return heardAt >= known.heartbeatAt_;
+    return heardAt - known.heartbeatAt_ > maxHeartbeatAge;
 }
 
 bool isNewer(const Member &reported, const Member &known, Model::SteadyTime heardAt)
 {
-    if (reported.pulse_.incarnation_ != known.pulse_.incarnation_)
+    if (reported.heartbeatRecord_.incarnation_ != known.heartbeatRecord_.incarnation_)
         return isLaterIncarnation(reported, known, heardAt);
-    return reported.pulse_.heartbeat_ > known.pulse_.heartbeat_;
+    return reported.heartbeatRecord_.heartbeat_ > known.heartbeatRecord_.heartbeat_;
 }
 
 bool hasRecentHeartbeat(const Member &member, Model::SteadyTime now)
 {
-    return !member.isHearsay_ && now - member.heardAt_ <= memberCountingTime;
+    return !member.isUnconfirmed_ && now - member.heartbeatAt_ <= memberCountingTime;
 }
 
 } // namespace
 
-bool hearOf(Members &members, const Member &reported, Model::SteadyTime heardAt)
+bool mergeMemberRecord(Members &members, const Member &reported, Model::SteadyTime heardAt)
 {
     const auto [position, isNew] = members.try_emplace(reported.instance_.id_);
     Member &known = position->second;
-    const bool isFirstHeartbeat = known.isHearsay_ && !reported.isHearsay_;
+    const bool isFirstHeartbeat = known.isUnconfirmed_ && !reported.isUnconfirmed_;
     if (!isNew && !isFirstHeartbeat && !isNewer(reported, known, heardAt))
         return false;
     known = reported;
-    known.heardAt_ = heardAt;
+    known.heartbeatAt_ = heardAt;
     return true;
 }
 
-bool hearPulse(Members &members, const MemberPulse &pulse, Model::SteadyTime now)
+bool mergeHeartbeatRecord(Members &members, const MemberHeartbeat &pulse, Model::SteadyTime now)
 {
     const auto found = members.find(pulse.id_);
     if (found == members.end())
         return false;
     Member &known = found->second;
-    const bool isSameIncarnation = known.pulse_.incarnation_ == pulse.incarnation_;
-    if (!isSameIncarnation || pulse.heartbeat_ <= known.pulse_.heartbeat_)
+    const bool isSameIncarnation = known.heartbeatRecord_.incarnation_ == pulse.incarnation_;
+    if (!isSameIncarnation || pulse.heartbeat_ <= known.heartbeatRecord_.heartbeat_)
         return false;
-    known.pulse_ = pulse;
-    known.heardAt_ = now - pulse.age_;
-    known.isHearsay_ = false;
+    known.heartbeatRecord_ = pulse;
+    known.heartbeatAt_ = now - pulse.age_;
+    known.isUnconfirmed_ = false;
     return true;
 }
 
-MemberPulse pulseAt(const Member &member, Model::SteadyTime now)
+MemberHeartbeat heartbeatRecordAt(const Member &member, Model::SteadyTime now)
 {
-    MemberPulse pulse = member.pulse_;
-    const auto age = std::chrono::duration_cast<Model::Milliseconds>(now - member.heardAt_);
+    MemberHeartbeat pulse = member.heartbeatRecord_;
+    const auto age = std::chrono::duration_cast<Model::Milliseconds>(now - member.heartbeatAt_);
     pulse.age_ = std::max(Model::Milliseconds(0), age);
     return pulse;
 }
 
 bool isAlive(const Member &member, Model::SteadyTime now)
 {
-    const auto maxAge = member.isFar_ ? farAliveFor : aliveFor;
-    return !member.isHearsay_ && now - member.heardAt_ <= maxAge;
+    const auto maxAge = member.isRemote_ ? maxRemoteHeartbeatAge : maxHeartbeatAge;
+    return !member.isUnconfirmed_ && now - member.heartbeatAt_ <= maxAge;
 }
 
 void forgetSilent(Members &members, const Model::InstanceId &own, Model::SteadyTime now)
 {
     std::erase_if(members, [&](const auto &entry) {
-        return entry.first != own && now - entry.second.heardAt_ > silentMemberRetention;
+        return entry.first != own && now - entry.second.heartbeatAt_ > silentMemberRetention;
     });
 }
 
@@ -87,8 +87,8 @@
             continue;
         ++withRecentHeartbeat;
         // Counts of local instances add nothing to the members counted here.
-        if (member.isFar_)
-            counted = std::max<std::size_t>(counted, member.pulse_.regionEntries_);
+        if (member.isRemote_)
+            counted = std::max<std::size_t>(counted, member.heartbeatRecord_.regionEntries_);
     }
     return std::max(withRecentHeartbeat, counted);
 }
--- a/Libraries/LibPolicy/Liveness.h
+++ b/Libraries/LibPolicy/Liveness.h
@@ -19,7 +19,7 @@
 
 /// A heartbeat record: the fields of a member that change while it runs, for peers that already
 /// have its full record.
-struct MemberPulse
+struct MemberHeartbeat
 {
     Model::InstanceId id_;
     /// A later incarnation replaces an earlier one.
@@ -49,13 +49,13 @@
 {
     /// Its location and addresses; whether it is leaving is in the heartbeat record.
     Model::Instance instance_;
-    MemberPulse pulse_;
+    MemberHeartbeat heartbeatRecord_;
     /// When the heartbeat was incremented, on this instance's clock.
-    Model::SteadyTime heardAt_;
+    Model::SteadyTime heartbeatAt_;
     /// It lies in another region than the instance that keeps this record.
-    bool isFar_ = false;
+    bool isRemote_ = false;
     /// Unconfirmed: named by the store or as a seed, but no heartbeat has been received.
-    bool isHearsay_ = false;
+    bool isUnconfirmed_ = false;
 };
 
 using Members = std::map<Model::InstanceId, Member>;
@@ -63,11 +63,11 @@
 /// An instance of the local region whose heartbeat is older than this is considered failed.
 /// Heartbeats are incremented every 400 ms and reach two dozen instances within three rounds of two
 /// peers each, so this is two rounds more than an update usually takes.
-constexpr Model::Milliseconds aliveFor{2500};
+constexpr Model::Milliseconds maxHeartbeatAge{2500};
 
 /// The same for other regions, whose updates arrive through only a few exchanges per second: they
 /// take one second to reach the region and two to reach every instance there.
-constexpr Model::Milliseconds farAliveFor{4500};
+constexpr Model::Milliseconds maxRemoteHeartbeatAge{4500};
 
 /// Limits stay divided among the instances whose last heartbeat is at most this old, since they may
 /// still run.
@@ -85,14 +85,14 @@
 /// machine's clock; if that was set back before the restart, the later incarnation is accepted once
 /// the earlier one has been silent for longer than a live one can be.
 /// Thread safety: \a members belongs to the calling thread.
-bool hearOf(Members &members, const Member &reported, Model::SteadyTime heardAt);
+bool mergeMemberRecord(Members &members, const Member &reported, Model::SteadyTime heardAt);
 
 /// Merges the heartbeat record of an incarnation that is already known; any other is ignored.
 /// Returns and thread safety: as above.
-bool hearPulse(Members &members, const MemberPulse &pulse, Model::SteadyTime now);
+bool mergeHeartbeatRecord(Members &members, const MemberHeartbeat &pulse, Model::SteadyTime now);
 
 /// Returns the heartbeat record of \a member with its age at \a now. Thread safety: any thread.
-MemberPulse pulseAt(const Member &member, Model::SteadyTime now);
+MemberHeartbeat heartbeatRecordAt(const Member &member, Model::SteadyTime now);
 
 /// Returns whether \a member is considered alive. Thread safety: any thread.
 bool isAlive(const Member &member, Model::SteadyTime now);
--- a/Libraries/LibPolicy/PeerUpdate.cpp
+++ b/Libraries/LibPolicy/PeerUpdate.cpp
@@ -117,7 +117,7 @@
 class PeerUpdateBuilder
 {
 public:
-    PeerUpdateBuilder(const std::vector<MemberPulse> &known, const Model::Instance &asker,
+    PeerUpdateBuilder(const std::vector<MemberHeartbeat> &known, const Model::Instance &asker,
                       Model::SteadyTime now)
         : asker_(asker)
         , now_(now)
@@ -134,35 +134,35 @@
             return;
         const auto found = known_.find(member.instance_.id_);
         const bool isKnownIncarnation
-            = found != known_.end() && found->second->incarnation_ == member.pulse_.incarnation_;
-        if (isKnownIncarnation && found->second->heartbeat_ >= member.pulse_.heartbeat_)
+            = found != known_.end() && found->second->incarnation_ == member.heartbeatRecord_.incarnation_;
+        if (isKnownIncarnation && found->second->heartbeat_ >= member.heartbeatRecord_.heartbeat_)
             return;
         if (!isKnownIncarnation && fullRecordsLeft > 0) {
             --fullRecordsLeft;
             Member sent = member;
-            sent.pulse_ = pulseAt(member, now_);
-            update_.whole_.push_back(std::move(sent));
+            sent.heartbeatRecord_ = heartbeatRecordAt(member, now_);
+            update_.fullRecords_.push_back(std::move(sent));
         } else {
-            update_.pulses_.push_back(pulseAt(member, now_));
+            update_.heartbeatRecords_.push_back(heartbeatRecordAt(member, now_));
         }
     }
 
-    PeerNews take() { return std::move(update_); }
+    PeerUpdate take() { return std::move(update_); }
 
 private:
     const Model::Instance &asker_;
     Model::SteadyTime now_;
-    std::unordered_map<Model::InstanceId, const MemberPulse *> known_;
-    PeerNews update_;
+    std::unordered_map<Model::InstanceId, const MemberHeartbeat *> known_;
+    PeerUpdate update_;
 };
 
 } // namespace
 
-void forgetStrangers(Members &members, Model::SteadyTime now)
+void forgetNonContacts(Members &members, Model::SteadyTime now)
 {
     std::map<Model::RegionId, MemberList> remoteByRegion;
     for (const auto &[id, member] : members) {
-        if (member.isFar_)
+        if (member.isRemote_)
             remoteByRegion[member.instance_.region_].push_back(&member);
     }
     const std::size_t wanted = contactsOfEach(members);
@@ -198,17 +198,17 @@
     MemberList failedLocal;
     std::copy_if(failed.begin(), failed.end(), std::back_inserter(failedLocal),
                  [](const Member *member) {
-                     return !member->isFar_;
+                     return !member->isRemote_;
                  });
     std::uniform_real_distribution<double> chance(0, 1);
     const std::size_t crossing = chance(generator) < crossDomainProbability ? 1 : 0;
-    MemberList chosen = sampled(sameDomain, nearPeersInRound - crossing, generator);
+    MemberList chosen = sampled(sameDomain, localPeersInRound - crossing, generator);
     // An instance that is alone in its region, or has just started, contacts any known peers, local
     // ones first.
     for (const MemberList *others :
          std::initializer_list<const MemberList *>{&otherDomains, &failedLocal, &remote, &failed}) {
-        if (chosen.size() < nearPeersInRound)
-            append(chosen, sampled(*others, nearPeersInRound - chosen.size(), generator));
+        if (chosen.size() < localPeersInRound)
+            append(chosen, sampled(*others, localPeersInRound - chosen.size(), generator));
     }
     const double remoteProbability = std::max(
         remotePeerFraction, remotePeersOfRegionInRound / static_cast<double>(local.size() + 1));
@@ -219,13 +219,13 @@
     return instancesOf(chosen);
 }
 
-std::vector<Model::Instance> peersToTellAtOnce(const Members &members, const Model::Instance &own,
+std::vector<Model::Instance> peersToAnnounceTo(const Members &members, const Model::Instance &own,
                                                Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
     std::map<Model::FailureDomainId, MemberList> byDomain;
     for (const Member *member : aliveIn(members, own, own.region_, now)) {
-        if (member->pulse_.store_ == StoreContact::NotAsked)
+        if (member->heartbeatRecord_.store_ == StoreContact::NotAsked)
             byDomain[member->instance_.domain_].push_back(member);
     }
     MemberList sameDomain;
@@ -236,7 +236,7 @@
     }
     const auto self = members.find(own.id_);
     const bool isReader
-        = self != members.end() && self->second.pulse_.store_ != StoreContact::NotAsked;
+        = self != members.end() && self->second.heartbeatRecord_.store_ != StoreContact::NotAsked;
     MemberList chosen;
     MemberList beyond;
     for (const auto &[domain, others] : byDomain) {
@@ -244,14 +244,14 @@
             append(chosen, sampled(others, 1, generator));
         append(beyond, others);
     }
-    const std::size_t wanted = std::max(peersToldAtOnce, chosen.size() + 1);
+    const std::size_t wanted = std::max(announcementFanout, chosen.size() + 1);
     append(chosen, sampled(sameDomain, wanted - chosen.size(), generator));
     if (chosen.size() < wanted && !isReader)
         append(chosen, sampled(beyond, wanted - chosen.size(), generator));
     return instancesOf(chosen);
 }
 
-const Member *nearestThat(const Members &members, const Model::Instance &own,
+const Member *nearestPeerWith(const Members &members, const Model::Instance &own,
                           const std::function<bool(const Member &)> &knowsMore,
                           Model::SteadyTime now, std::uint64_t random)
 {
@@ -260,7 +260,7 @@
     MemberList remote;
     for (const Member *member : aliveWhere(members, own, now, knowsMore)) {
         const bool isInDomain = member->instance_.domain_ == own.domain_;
-        MemberList &destination = isInDomain ? sameDomain : (member->isFar_ ? remote : local);
+        MemberList &destination = isInDomain ? sameDomain : (member->isRemote_ ? remote : local);
         destination.push_back(member);
     }
     for (const MemberList *from :
@@ -271,7 +271,7 @@
     return nullptr;
 }
 
-std::vector<MemberPulse> pulsesToAskWith(const Members &members, const Model::Instance &own,
+std::vector<MemberHeartbeat> heartbeatRecordsForRequest(const Members &members, const Model::Instance &own,
                                          const Model::RegionId &peerRegion, Model::SteadyTime now,
                                          std::uint64_t random)
 {
@@ -290,15 +290,15 @@
         return region != own.region_ && region != peerRegion;
     });
     append(sent, others);
-    std::vector<MemberPulse> pulses;
+    std::vector<MemberHeartbeat> pulses;
     pulses.reserve(sent.size());
     for (const Member *member : sent)
-        pulses.push_back(pulseAt(*member, now));
+        pulses.push_back(heartbeatRecordAt(*member, now));
     return pulses;
 }
 
-PeerNews newsFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
-                 const std::vector<MemberPulse> &known, Model::SteadyTime now, std::uint64_t random)
+PeerUpdate peerUpdateFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
+                 const std::vector<MemberHeartbeat> &known, Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
     PeerUpdateBuilder builder(known, asker, now);
--- a/Libraries/LibPolicy/PeerUpdate.h
+++ b/Libraries/LibPolicy/PeerUpdate.h
@@ -8,7 +8,7 @@
 
 /// Peers of the local region that an instance contacts in a round; an update reaches a region of n
 /// instances in about log(n) / log(4) rounds.
-constexpr std::size_t nearPeersInRound = 2;
+constexpr std::size_t localPeersInRound = 2;
 
 /// The probability that one of them lies in another failure domain; the others lie in the local
 /// one, where traffic is free. All instances of a domain together receive the others' updates.
@@ -44,10 +44,10 @@
 
 /// An update from one instance to another: full records of the members that the receiver does not
 /// know, heartbeat records of the rest.
-struct PeerNews
+struct PeerUpdate
 {
-    std::vector<Member> whole_;
-    std::vector<MemberPulse> pulses_;
+    std::vector<Member> fullRecords_;
+    std::vector<MemberHeartbeat> heartbeatRecords_;
 };
 
 /// Removes instances of other regions that rank behind the contacts of their region.
@@ -56,7 +56,7 @@
 /// it; it is considered failed a few seconds later, and alive again with its next request. The log
 /// fills with live instances that appear and disappear. Thread safety: \a members belongs to the
 /// calling thread.
-void forgetStrangers(Members &members, Model::SteadyTime now);
+void forgetNonContacts(Members &members, Model::SteadyTime now);
 
 /// Returns the peers that \a own contacts in a round, drawn by \a random. Empty if none is known.
 /// Thread safety: any thread.
@@ -64,7 +64,7 @@
                                           Model::SteadyTime now, std::uint64_t random);
 
 /// The number of peers to which an instance announces a change of the store immediately.
-constexpr std::size_t peersToldAtOnce = 3;
+constexpr std::size_t announcementFanout = 3;
 
 /// Returns the peers to which \a own announces a change immediately: live ones of its region that
 /// do not read the store. A reader chooses one peer in each other failure domain and the rest in
@@ -74,26 +74,26 @@
 /// With peers drawn from the whole region, each fetches the change from the announcer, so most
 /// fetches cross between failure domains, with the rows of every target for every instance.
 /// Thread safety: any thread.
-std::vector<Model::Instance> peersToTellAtOnce(const Members &members, const Model::Instance &own,
+std::vector<Model::Instance> peersToAnnounceTo(const Members &members, const Model::Instance &own,
                                                Model::SteadyTime now, std::uint64_t random);
 
 /// Returns a live peer for which \a knowsMore holds, of the local failure domain if there is one,
 /// else of the local region, else of another one; nullptr if there is none.
 /// Thread safety: any thread.
-const Member *nearestThat(const Members &members, const Model::Instance &own,
+const Member *nearestPeerWith(const Members &members, const Model::Instance &own,
                           const std::function<bool(const Member &)> &knowsMore,
                           Model::SteadyTime now, std::uint64_t random);
 
 /// Returns the heartbeat records that \a own sends with a request to a peer in \a peerRegion; the
 /// peer answers with newer ones. \a own itself is left out. Thread safety: any thread.
-std::vector<MemberPulse> pulsesToAskWith(const Members &members, const Model::Instance &own,
+std::vector<MemberHeartbeat> heartbeatRecordsForRequest(const Members &members, const Model::Instance &own,
                                          const Model::RegionId &peerRegion, Model::SteadyTime now,
                                          std::uint64_t random);
 
 /// Returns the records of \a own that are newer than those that \a asker has sent as \a known.
 /// Thread safety: any thread.
-PeerNews newsFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
-                 const std::vector<MemberPulse> &known, Model::SteadyTime now,
+PeerUpdate peerUpdateFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
+                 const std::vector<MemberHeartbeat> &known, Model::SteadyTime now,
                  std::uint64_t random);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RegistrationExpiry.cpp
+++ b/Libraries/LibPolicy/RegistrationExpiry.cpp
@@ -19,7 +19,7 @@
 /// started has not seen it fail.
 Model::SteadyTime recoverySeenBy(const StoreStanding &own, const RemovedRegistration &removed)
 {
-    return own.contact_ == StoreContact::Refused ? removed.noticedAt_ : own.returnedAt_;
+    return own.contact_ == StoreContact::Refused ? removed.noticedAt_ : own.recoveredAt_;
 }
 
 } // namespace
@@ -31,10 +31,10 @@
     for (const auto &[id, member] : members) {
         if (id == own || !isAlive(member, now))
             continue;
-        const auto &pulse = member.pulse_;
+        const auto &pulse = member.heartbeatRecord_;
         StoreStanding standing;
         standing.contact_ = pulse.store_;
-        standing.answeredSince_ = member.heardAt_ - pulse.storeAnswered_;
+        standing.answeredSince_ = member.heartbeatAt_ - pulse.storeAnswered_;
         standing.targetsRead_ = pulse.targetsRead_;
         standings.push_back(standing);
     }
@@ -45,7 +45,7 @@
 {
     std::optional<Model::SteadyTime> observedRecovery;
     if (hasReadRemoval(evidence.own_, removed))
-        observedRecovery = evidence.own_.returnedAt_;
+        observedRecovery = evidence.own_.recoveredAt_;
     for (const auto &other : evidence.others_) {
         if (hasReadRemoval(other, removed))
             observedRecovery
@@ -53,9 +53,9 @@
     }
     const auto recoveredAt = observedRecovery.value_or(recoverySeenBy(evidence.own_, removed));
     // A removal cannot be read during an outage: the store had recovered when it was noticed.
-    const auto until = std::min(recoveredAt, removed.noticedAt_) + lapseGrace;
-    const auto untilUnseen = removed.noticedAt_ + unseenLapseGrace;
-    return removed.isOneOfMany_ ? std::max(until, untilUnseen) : until;
+    const auto until = std::min(recoveredAt, removed.noticedAt_) + registrationExpiryGrace;
+    const auto untilUnseen = removed.noticedAt_ + unobservedExpiryGrace;
+    return removed.isSimultaneousRemoval_ ? std::max(until, untilUnseen) : until;
 }
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RegistrationExpiry.h
+++ b/Libraries/LibPolicy/RegistrationExpiry.h
@@ -11,7 +11,7 @@
     /// The start of the period in which the store has answered each of its calls, if it is reached.
     Model::SteadyTime answeredSince_ = Model::longAgo;
     /// When a call first succeeded after a failed one; known only to the instance itself.
-    Model::SteadyTime returnedAt_ = Model::longAgo;
+    Model::SteadyTime recoveredAt_ = Model::longAgo;
     /// The revision up to which it has itself read the targets' rows from the store.
     std::uint64_t targetsRead_ = 0;
 };
@@ -35,19 +35,19 @@
     std::uint64_t revision_ = 0;
     Model::SteadyTime noticedAt_;
     /// Others were removed at the same time.
-    bool isOneOfMany_ = false;
+    bool isSimultaneousRemoval_ = false;
 };
 
 /// Registrations that expire during an outage of the store are renewed within this time after it.
-constexpr Model::Milliseconds lapseGrace{2000};
+constexpr Model::Milliseconds registrationExpiryGrace{2000};
 
 /// This many registrations that are removed together, none announced, look like an expiry and not
 /// like leaves.
-constexpr std::size_t manyAtOnce = 3;
+constexpr std::size_t minSimultaneousRemovals = 3;
 
 /// The grace period for those if no instance saw the store fail, from when they are noticed: the
 /// targets may have left after all.
-constexpr Model::Milliseconds unseenLapseGrace{1200};
+constexpr Model::Milliseconds unobservedExpiryGrace{1200};
 
 /// Returns until when a target may be used whose registration was removed; a time in the past if it
 /// is considered to have left.
--- a/Libraries/LibPolicy/RequestFingerprint.cpp
+++ b/Libraries/LibPolicy/RequestFingerprint.cpp
@@ -35,21 +35,21 @@
 
 } // namespace
 
-std::uint32_t headOf(const RequestText &text)
+std::uint32_t fingerprintPrefixOf(const RequestText &text)
 {
     return lowerHalf(mixed(mixed(mixed(0, text.method_), text.host_), text.target_));
 }
 
-RequestPrint printOf(const RequestText &text, std::uint32_t prefix)
+RequestFingerprint fingerprintOf(const RequestText &text, std::uint32_t prefix)
 {
-    RequestPrint fingerprint;
+    RequestFingerprint fingerprint;
     fingerprint.request_ = std::uint64_t(prefix) << 32U | lowerHalf(mixed(prefix, text.body_));
     // Zero matches any caller.
     fingerprint.caller_ = std::max<std::uint32_t>(1, lowerHalf(mixed(0, text.caller_)));
     return fingerprint;
 }
 
-std::string toText(const RequestPrint &fingerprint)
+std::string toText(const RequestFingerprint &fingerprint)
 {
     char text[requestDigits + callerDigits + 2];
     std::snprintf(text, sizeof text, "%016llx-%08x",
@@ -58,9 +58,9 @@
     return text;
 }
 
-std::optional<RequestPrint> printFromText(std::string_view text)
+std::optional<RequestFingerprint> fingerprintFromText(std::string_view text)
 {
-    RequestPrint fingerprint;
+    RequestFingerprint fingerprint;
     const bool isFingerprint = text.size() == requestDigits + 1 + callerDigits
                                && text[requestDigits] == '-'
                                && readHex(text.substr(0, requestDigits), fingerprint.request_)
@@ -70,7 +70,7 @@
     return fingerprint;
 }
 
-void remember(RequestNames &names, const RequestPrint &fingerprint, std::string name)
+void remember(RequestNames &names, const RequestFingerprint &fingerprint, std::string name)
 {
     if (names.names_.size() >= maxNames)
         names.names_.clear();
@@ -78,7 +78,7 @@
     names.names_[fingerprint] = std::move(name);
 }
 
-std::string nameOf(const RequestNames &names, const RequestPrint &fingerprint)
+std::string nameOf(const RequestNames &names, const RequestFingerprint &fingerprint)
 {
     const auto exact = names.names_.find(fingerprint);
     if (exact != names.names_.end())
--- a/Libraries/LibPolicy/StoreReaders.cpp
+++ b/Libraries/LibPolicy/StoreReaders.cpp
@@ -18,9 +18,9 @@
 bool isEligibleReader(const Member &member, const Model::Instance &own, Model::SteadyTime now)
 {
     const bool isOwn = member.instance_.id_ == own.id_;
-    const bool isAvailable = isOwn || (isAlive(member, now) && !member.pulse_.isLeaving_);
+    const bool isAvailable = isOwn || (isAlive(member, now) && !member.heartbeatRecord_.isLeaving_);
     return isAvailable && member.instance_.region_ == own.region_
-           && member.pulse_.store_ != StoreContact::Refused;
+           && member.heartbeatRecord_.store_ != StoreContact::Refused;
 }
 
 /// Returns all eligible readers: the first of each failure domain, then the second, and so on.
@@ -69,12 +69,12 @@
     const auto order = readersInOrder(members, own, now);
     // If the store refuses all instances, all of them keep trying.
     if (order.empty() || order.front()->instance_.id_ == own.id_)
-        return ReaderRank::First;
+        return ReaderRank::Active;
     if (isSmall)
         return ReaderRank::Each;
     for (std::size_t i = 1; i < std::min(readersInRegion, order.size()); ++i) {
         if (order[i]->instance_.id_ == own.id_)
-            return ReaderRank::Reserve;
+            return ReaderRank::Standby;
     }
     return ReaderRank::None;
 }
--- a/Libraries/LibPolicy/StoreReaders.h
+++ b/Libraries/LibPolicy/StoreReaders.h
@@ -20,12 +20,12 @@
     None,
     /// The active reader: it calls again as soon as it has applied an answer, and limits how long a
     /// call waits.
-    First,
+    Active,
     /// One of a small fleet, in which each instance reads.
     Each,
     /// The standby reader, for when the active one is not served: it calls less often, and receives
     /// most changes from the active one before.
-    Reserve,
+    Standby,
 };
 
 /// Returns the role of \a own in reading the store, by the members that it knows.
--- a/Libraries/LibSteering/CrashGuard.cpp
+++ b/Libraries/LibSteering/CrashGuard.cpp
@@ -10,7 +10,7 @@
 using Model::SteadyTime;
 using nlohmann::json;
 using Observe::Event;
-using Policy::RequestPrint;
+using Policy::RequestFingerprint;
 using Policy::RequestStanding;
 
 namespace {
@@ -33,11 +33,11 @@
     if (view_.isEmpty() || !view_.mayHold(fingerprintPrefixFor(request, port_.headers_)))
         return std::nullopt;
     const auto found = Policy::standingOf(view_, fingerprintFor(request, port_.headers_), now);
-    Refusal refusal{ResultCode::Quarantined, Policy::comeBackFromTrial, Model::Microseconds(0)};
+    Refusal refusal{ResultCode::Quarantined, Policy::serializedProbeRetryDelay, Model::Microseconds(0)};
     switch (found.standing_) {
     case RequestStanding::Free:
         return std::nullopt;
-    case RequestStanding::Trial:
+    case RequestStanding::SerializedProbe:
         // A retry is still sent: the request may have been lost to a crash that another request
         // caused.
         if (request.holdsProbeSlot_ || request.attempts_ > 0)
@@ -70,10 +70,10 @@
     if (std::find(targetsWithLosses_.begin(), targetsWithLosses_.end(), sharedTarget)
         == targetsWithLosses_.end())
         targetsWithLosses_.push_back(sharedTarget);
-    if (now - target.lastLossAt_ > Policy::lossMemory)
+    if (now - target.lastLossAt_ > Policy::connectionLossWindow)
         target.lostRequests_.clear();
     target.lastLossAt_ = now;
-    if (target.lostRequests_.size() < Policy::mostSuspects)
+    if (target.lostRequests_.size() < Policy::maxSuspectsPerCrash)
         target.lostRequests_.push_back(fingerprintFor(request, port_.headers_));
     const auto &message = request.incoming_.message_;
     std::string name(message.method_string());
@@ -114,7 +114,7 @@
 void CrashGuard::noteEnded(TargetState &target, SteadyTime now)
 {
     const bool isNew = !std::exchange(target.hasEnded_, true);
-    if (target.lostRequests_.empty() || now - target.lastLossAt_ > Policy::lossMemory)
+    if (target.lostRequests_.empty() || now - target.lastLossAt_ > Policy::connectionLossWindow)
         return;
     if (isNew) {
         ++endedTargets_;
@@ -125,7 +125,7 @@
             .add("print", toText(target.lostRequests_.front()));
     }
     Policy::noteEnded(crashRecords_,
-                      Policy::runKeyOf(target.record_.id_, target.record_.incarnation_),
+                      Policy::targetIncarnationKeyOf(target.record_.id_, target.record_.incarnation_),
                       target.lostRequests_, now);
     target.lostRequests_.clear();
 }
@@ -134,9 +134,9 @@
 {
     if (view_.isEmpty() || !view_.mayHold(fingerprintPrefixFor(request, port_.headers_)))
         return;
-    const RequestPrint &fingerprint = fingerprintFor(request, port_.headers_);
+    const RequestFingerprint &fingerprint = fingerprintFor(request, port_.headers_);
     if (Policy::noteAnswered(crashRecords_, fingerprint, now)) {
-        for (const RequestPrint &lifted : {fingerprint, RequestPrint{fingerprint.request_, 0}}) {
+        for (const RequestFingerprint &lifted : {fingerprint, RequestFingerprint{fingerprint.request_, 0}}) {
             if (!crashRecords_.quarantines_.contains(lifted))
                 continue;
             logLifted(lifted, "answer");
@@ -157,7 +157,7 @@
             noteEnded(*target, now);
     }
     std::erase_if(targetsWithLosses_, [&](const auto &target) {
-        return target->lostRequests_.empty() || now - target->lastLossAt_ > Policy::lossMemory;
+        return target->lostRequests_.empty() || now - target->lastLossAt_ > Policy::connectionLossWindow;
     });
 }
 
@@ -165,7 +165,7 @@
 {
     findReplacedTargets(now);
     const bool isDue = crashRecords_.isChanged_ || !crashRecords_.pending_.empty()
-                       || now - evaluatedAt_ > Policy::reviewPause;
+                       || now - evaluatedAt_ > Policy::crashReviewInterval;
     if (!isDue)
         return;
     evaluatedAt_ = now;
@@ -176,7 +176,7 @@
     crashRecords_.isChanged_ = false;
 }
 
-void CrashGuard::applyDecisions(const Policy::Verdicts &decisions, SteadyTime now)
+void CrashGuard::applyDecisions(const Policy::QuarantineChanges &decisions, SteadyTime now)
 {
     for (const auto &fingerprint : decisions.quarantined_) {
         ++verdicts_;
@@ -195,37 +195,37 @@
     }
 }
 
-void CrashGuard::logLifted(const RequestPrint &fingerprint, const char *by)
+void CrashGuard::logLifted(const RequestFingerprint &fingerprint, const char *by)
 {
     log_.line(Event::QuarantineLifted).add("print", toText(fingerprint)).add("by", by);
 }
 
-void CrashGuard::hear(const Policy::CrashNews &news, bool isPeerReady, SteadyTime now)
+void CrashGuard::hear(const Policy::CrashUpdate &news, bool isPeerReady, SteadyTime now)
 {
     isInformed_ = isInformed_ || isPeerReady;
-    const auto isInForce = [&](const RequestPrint &fingerprint) {
+    const auto isInForce = [&](const RequestFingerprint &fingerprint) {
         const auto found = crashRecords_.quarantines_.find(fingerprint);
         return found != crashRecords_.quarantines_.end()
                && Policy::inForceUntil(found->second) > now;
     };
-    std::vector<RequestPrint> before;
+    std::vector<RequestFingerprint> before;
     for (const auto &received : news.quarantines_) {
-        if (isInForce(received.print_))
-            before.push_back(received.print_);
+        if (isInForce(received.fingerprint_))
+            before.push_back(received.fingerprint_);
     }
     if (!Policy::takeIn(crashRecords_, news, now))
         return;
     bool hasDecisionChanged = false;
     for (const auto &received : news.quarantines_) {
-        const bool was = std::find(before.begin(), before.end(), received.print_) != before.end();
-        const bool is = isInForce(received.print_);
+        const bool was = std::find(before.begin(), before.end(), received.fingerprint_) != before.end();
+        const bool is = isInForce(received.fingerprint_);
         hasDecisionChanged |= was != is;
         if (was && !is)
-            logLifted(received.print_, "peer");
+            logLifted(received.fingerprint_, "peer");
         if (!was && is) {
             log_.line(Event::RequestQuarantined)
-                .add("print", toText(received.print_))
-                .add("request", Policy::nameOf(requestNames_, received.print_))
+                .add("print", toText(received.fingerprint_))
+                .add("request", Policy::nameOf(requestNames_, received.fingerprint_))
                 .add("by", "peer");
         }
     }
@@ -237,11 +237,11 @@
                              Model::WallTime wallNow)
 {
     for (const auto &[key, text] : records) {
-        const auto fingerprint = Policy::printFromText(key);
+        const auto fingerprint = Policy::fingerprintFromText(key);
         const json record = json::parse(text, nullptr, false);
         try {
-            Policy::ToldQuarantine received;
-            received.print_ = fingerprint.value();
+            Policy::QuarantineReport received;
+            received.fingerprint_ = fingerprint.value();
             received.generation_ = record.at("generation").get<std::uint32_t>();
             received.lifted_ = record.at("lifted").get<std::uint32_t>();
             const auto since = record.at("since_ms").get<long long>();
@@ -299,7 +299,7 @@
         json suspects = json::array();
         for (const auto &suspect : run.suspects_) {
             if (!suspect.isCleared_)
-                suspects.push_back(toText(suspect.print_));
+                suspects.push_back(toText(suspect.fingerprint_));
         }
         const auto age = std::chrono::duration_cast<Milliseconds>(now - run.endedAt_);
         runs.push_back({{"age_ms", age.count()}, {"suspects", std::move(suspects)}});
@@ -308,7 +308,7 @@
     return all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-bool CrashGuard::lift(const RequestPrint &fingerprint, SteadyTime now)
+bool CrashGuard::lift(const RequestFingerprint &fingerprint, SteadyTime now)
 {
     if (!Policy::liftQuarantine(crashRecords_, fingerprint, now)) {
         Model::fail(ResultCode::UnknownRow, "no quarantine of " + toText(fingerprint));
--- a/Libraries/LibSteering/CrashGuard.h
+++ b/Libraries/LibSteering/CrashGuard.h
@@ -12,7 +12,7 @@
 /// A quarantine decision as stored in the store.
 struct QuarantineRecord
 {
-    Policy::RequestPrint print_;
+    Policy::RequestFingerprint fingerprint_;
     /// std::nullopt if the record is to be removed.
     std::optional<std::string> text_;
 };
@@ -50,12 +50,12 @@
     /// due. Called every tick.
     void judge(Model::SteadyTime now);
 
-    Policy::CrashNews news(Model::SteadyTime now) const
+    Policy::CrashUpdate news(Model::SteadyTime now) const
     {
-        return Policy::newsOf(crashRecords_, now);
+        return Policy::crashUpdateFrom(crashRecords_, now);
     }
     /// Merges a peer's update. A peer for which \a isPeerReady holds has complete crash records.
-    void hear(const Policy::CrashNews &news, bool isPeerReady, Model::SteadyTime now);
+    void hear(const Policy::CrashUpdate &news, bool isPeerReady, Model::SteadyTime now);
 
     /// Returns whether the instance has received the list of quarantined requests, or has waited
     /// for it long enough.
@@ -68,7 +68,7 @@
     /// Returns the records that are yet to be written to the store, each once.
     std::vector<QuarantineRecord> takeUnwritten(Model::SteadyTime now, Model::WallTime wallNow);
     /// Has takeUnwritten() return a record again that the store failed to write.
-    void writeAgain(const Policy::RequestPrint &fingerprint)
+    void writeAgain(const Policy::RequestFingerprint &fingerprint)
     {
         unwrittenRecords_.push_back(fingerprint);
     }
@@ -77,7 +77,7 @@
     std::string listText(Model::SteadyTime now) const;
     /// Releases a request from quarantine for an operator. Returns false, with UnknownRow as the
     /// last reason, if no quarantine is in force.
-    bool lift(const Policy::RequestPrint &fingerprint, Model::SteadyTime now);
+    bool lift(const Policy::RequestFingerprint &fingerprint, Model::SteadyTime now);
 
     std::size_t quarantined(Model::SteadyTime now) const;
     std::uint64_t endedTargets() const { return endedTargets_; }
@@ -88,19 +88,19 @@
     void recordLoss(RequestContext &request, const std::shared_ptr<TargetState> &target,
                     Model::SteadyTime now);
     void findReplacedTargets(Model::SteadyTime now);
-    void applyDecisions(const Policy::Verdicts &verdicts, Model::SteadyTime now);
-    void logLifted(const Policy::RequestPrint &fingerprint, const char *by);
+    void applyDecisions(const Policy::QuarantineChanges &verdicts, Model::SteadyTime now);
+    void logLifted(const Policy::RequestFingerprint &fingerprint, const char *by);
 
     const PlatformPort &port_;
     Observe::DecisionLog &log_;
-    Policy::CrashBook crashRecords_;
+    Policy::CrashRecords crashRecords_;
     Policy::CrashView view_;
     Model::SteadyTime evaluatedAt_ = Model::longAgo;
     /// Targets that recently lost requests.
     std::vector<std::shared_ptr<TargetState>> targetsWithLosses_;
     /// Names of the requests that were lost on this instance.
     Policy::RequestNames requestNames_;
-    std::vector<Policy::RequestPrint> unwrittenRecords_;
+    std::vector<Policy::RequestFingerprint> unwrittenRecords_;
     bool isProbeSlotTaken_ = false;
     bool isInformed_ = false;
     std::uint64_t endedTargets_ = 0;
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -203,7 +203,7 @@
         return maySendTo(target);
     };
     options.watchPeriod_ = Policy::tickPeriod;
-    options.sendPatience_ = Policy::sendPatience;
+    options.sendPatience_ = Policy::sendToLeavingTimeout;
     options.sends_ = [&] {
         noteSend(request, target);
     };
--- a/Libraries/LibSteering/InstanceAnswers.cpp
+++ b/Libraries/LibSteering/InstanceAnswers.cpp
@@ -35,10 +35,10 @@
         = parts_->peers_.hasContactedPeers() || now - startedAt_ > peerContactTimeout;
     std::vector<Policy::EntryCandidate> candidates;
     for (const auto &[id, member] : parts_->peers_.members()) {
-        candidates.push_back({member.instance_, member.pulse_.isReady_
+        candidates.push_back({member.instance_, member.heartbeatRecord_.isReady_
                                                     && Policy::isAlive(member, now)
                                                     && hasPeerView});
-        candidates.back().instance_.isLeaving_ = member.pulse_.isLeaving_;
+        candidates.back().instance_.isLeaving_ = member.heartbeatRecord_.isLeaving_;
     }
     auto entries = Policy::entriesOfRegion(*query, candidates);
     if (entries.empty())
@@ -85,7 +85,7 @@
     if (request.method() != http::verb::delete_ || target.size() <= quarantinesPath.size())
         return Http::refusal({Model::ResultCode::MalformedRequest, ""}, request.version());
     const auto fingerprint
-        = Policy::printFromText(std::string_view(target).substr(quarantinesPath.size() + 1));
+        = Policy::fingerprintFromText(std::string_view(target).substr(quarantinesPath.size() + 1));
     if (!fingerprint || !parts_->guard_.lift(*fingerprint, now))
         return Http::refusal(Model::lastReason(), request.version());
     return Http::textAnswer(http::status::ok, "application/json", parts_->guard_.listText(now),
--- a/Libraries/LibSteering/PeerCalls.cpp
+++ b/Libraries/LibSteering/PeerCalls.cpp
@@ -70,8 +70,8 @@
     PeerMessage message{members_.at(settings_.instance_), {}, {}, provideCrashes_()};
     if (!isAnnouncement) {
         message.loads_ = provideLoads_();
-        message.update_.pulses_
-            = Policy::pulsesToAskWith(members_, localInstance(), peer.region_, now, random_());
+        message.update_.heartbeatRecords_
+            = Policy::heartbeatRecordsForRequest(members_, localInstance(), peer.region_, now, random_());
     }
     const Model::Address &address = peer.addresses_.control_;
     const Http::ExchangeOptions options = optionsTo(addressToDial(address), gossipTimeout);
@@ -152,8 +152,8 @@
         return Http::textAnswer(http::status::no_content, "text/plain", "", request.version());
     PeerMessage update{members_.at(settings_.instance_), {}, {}, provideCrashes_()};
     update.loads_ = provideLoads_();
-    update.update_ = Policy::newsFor(members_, localInstance(), received->sender_.instance_,
-                                     received->update_.pulses_, now, random_());
+    update.update_ = Policy::peerUpdateFor(members_, localInstance(), received->sender_.instance_,
+                                     received->update_.heartbeatRecords_, now, random_());
     return Http::textAnswer(http::status::ok, messageType, toBytes(update), request.version());
 }
 
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -74,8 +74,8 @@
     own.instance_.domain_ = settings_.domain_;
     own.instance_.addresses_.entry_ = settings_.addresses_.entry_;
     own.instance_.addresses_.control_ = settings_.addresses_.control_;
-    own.heardAt_ = now;
-    Policy::MemberPulse &heartbeatRecord = own.pulse_;
+    own.heartbeatAt_ = now;
+    Policy::MemberHeartbeat &heartbeatRecord = own.heartbeatRecord_;
     heartbeatRecord.id_ = settings_.instance_;
     heartbeatRecord.incarnation_ = incarnation_;
     ++heartbeatRecord.heartbeat_;
@@ -146,7 +146,7 @@
     if (members_.contains(member->instance_.id_))
         return;
     // The store's record does not show whether the instance still runs.
-    member->isHearsay_ = true;
+    member->isUnconfirmed_ = true;
     recordMember(std::move(*member));
 }
 
@@ -154,16 +154,16 @@
 {
     if (member.instance_.id_ == settings_.instance_)
         return;
-    member.isFar_ = member.instance_.region_ != settings_.region_;
-    const auto heardAt = member.heardAt_;
-    Policy::hearOf(members_, member, heardAt);
+    member.isRemote_ = member.instance_.region_ != settings_.region_;
+    const auto heardAt = member.heartbeatAt_;
+    Policy::mergeMemberRecord(members_, member, heardAt);
 }
 
 void PeerExchange::markMembersUnconfirmed()
 {
     for (auto &[id, member] : members_) {
         if (id != settings_.instance_)
-            member.isHearsay_ = true;
+            member.isUnconfirmed_ = true;
     }
 }
 
@@ -173,14 +173,14 @@
         refreshLocalMember();
         const auto now = std::chrono::steady_clock::now();
         Policy::forgetSilent(members_, settings_.instance_, now);
-        Policy::forgetStrangers(members_, now);
+        Policy::forgetNonContacts(members_, now);
         for (auto &peer : choosePeers())
             Http::asio::co_spawn(context_, sendGossip(std::move(peer), false),
                                  Http::asio::detached);
         logLivenessChanges(now);
         if (behindSince_)
             catchUp(now);
-        co_await Http::sleepFor(Policy::peerRound);
+        co_await Http::sleepFor(Policy::gossipRoundInterval);
         ++rounds_;
     }
 }
@@ -189,7 +189,7 @@
 {
     const auto now = std::chrono::steady_clock::now();
     auto peers = Policy::peersOfRound(members_, localInstance(), now, random_());
-    if (peers.size() >= Policy::nearPeersInRound)
+    if (peers.size() >= Policy::localPeersInRound)
         return peers;
     // Seeds may be stale, so they are used only while few instances are known.
     std::vector<Model::Instance> seeds;
@@ -200,21 +200,21 @@
         if (address != settings_.addresses_.control_)
             seeds.push_back(std::move(seed));
     }
-    std::sample(seeds.begin(), seeds.end(), std::back_inserter(peers), Policy::nearPeersInRound,
+    std::sample(seeds.begin(), seeds.end(), std::back_inserter(peers), Policy::localPeersInRound,
                 random_);
     return peers;
 }
 
 void PeerExchange::announce()
 {
-    const auto &heartbeatRecord = members_.at(settings_.instance_).pulse_;
+    const auto &heartbeatRecord = members_.at(settings_.instance_).heartbeatRecord_;
     const auto operators = heartbeatRecord.operatorsSeen_;
     const auto targets = heartbeatRecord.targetsSeen_;
     refreshLocalMember();
     if (heartbeatRecord.operatorsSeen_ == operators && heartbeatRecord.targetsSeen_ == targets)
         return;
     const auto now = std::chrono::steady_clock::now();
-    auto chosen = Policy::peersToTellAtOnce(members_, localInstance(), now, random_());
+    auto chosen = Policy::peersToAnnounceTo(members_, localInstance(), now, random_());
     for (auto &peer : chosen)
         Http::asio::co_spawn(context_, sendGossip(std::move(peer), true), Http::asio::detached);
 }
@@ -222,14 +222,14 @@
 void PeerExchange::recordMessage(const PeerMessage &message, SteadyTime now)
 {
     recordMember(message.sender_);
-    for (const auto &member : message.update_.whole_)
+    for (const auto &member : message.update_.fullRecords_)
         recordMember(member);
-    for (const auto &heartbeatRecord : message.update_.pulses_) {
+    for (const auto &heartbeatRecord : message.update_.heartbeatRecords_) {
         if (heartbeatRecord.id_ != settings_.instance_)
-            Policy::hearPulse(members_, heartbeatRecord, now);
+            Policy::mergeHeartbeatRecord(members_, heartbeatRecord, now);
     }
     receiveLoads_(message.loads_);
-    receiveCrashes_(message.crashes_, message.sender_.pulse_.isReady_);
+    receiveCrashes_(message.crashes_, message.sender_.heartbeatRecord_.isReady_);
     catchUp(now);
     if (!behindSince_)
         upToDateAt_ = now;
@@ -243,8 +243,8 @@
     receiveLoads_ = std::move(receive);
 }
 
-void PeerExchange::setCrashExchange(std::function<Policy::CrashNews()> provide,
-                                    std::function<void(const Policy::CrashNews &, bool)> receive)
+void PeerExchange::setCrashExchange(std::function<Policy::CrashUpdate()> provide,
+                                    std::function<void(const Policy::CrashUpdate &, bool)> receive)
 {
     provideCrashes_ = std::move(provide);
     receiveCrashes_ = std::move(receive);
@@ -262,7 +262,7 @@
             .add("instance", id.value())
             .add("region", member.instance_.region_.value())
             .add("silent_ms",
-                 std::chrono::duration_cast<Model::Microseconds>(now - member.heardAt_));
+                 std::chrono::duration_cast<Model::Microseconds>(now - member.heartbeatAt_));
     }
     std::erase_if(knownAlive_, [&](const auto &entry) {
         return !members_.contains(entry.first);
@@ -273,12 +273,12 @@
 const Policy::Member *PeerExchange::peerWithNewerRows(SteadyTime now)
 {
     const auto hasNewerRows = [this](const Policy::Member &member) {
-        const auto &heartbeatRecord = member.pulse_;
+        const auto &heartbeatRecord = member.heartbeatRecord_;
         return !pendingFetches_.contains(member.instance_.id_)
                && knowledge_.isBehind({Platform::Revision(heartbeatRecord.operatorsSeen_),
                                        Platform::Revision(heartbeatRecord.targetsSeen_)});
     };
-    return Policy::nearestThat(members_, localInstance(), hasNewerRows, now, random_());
+    return Policy::nearestPeerWith(members_, localInstance(), hasNewerRows, now, random_());
 }
 
 void PeerExchange::setStoreCalls(std::function<bool(StoreTable, SteadyTime)> hasWaitedSince,
@@ -304,11 +304,11 @@
 /// Tells whether the waiting call to the store should have returned the newer rows of \a peer.
 bool PeerExchange::isCallHanging(StoreTable table, const Policy::Member &peer, SteadyTime now) const
 {
-    const auto &heartbeatRecord = peer.pulse_;
+    const auto &heartbeatRecord = peer.heartbeatRecord_;
     const auto seen = table == StoreTable::Operators ? heartbeatRecord.operatorsSeen_
                                                      : heartbeatRecord.targetsSeen_;
     return Platform::Revision(seen) > knowledge_.mirror(table).position()
-           && hasWaitedSince_(table, now - Policy::readerPatience);
+           && hasWaitedSince_(table, now - Policy::readerCallTimeout);
 }
 
 /// Allows a second concurrent request if the first peer does not answer: that peer may have stopped
@@ -318,7 +318,7 @@
     if (pendingFetches_.empty())
         return now >= nextFetchAt_;
     return pendingFetches_.size() < maxConcurrentFetches
-           && now - lastFetchAt_ >= Policy::fetchPatience;
+           && now - lastFetchAt_ >= Policy::rowFetchTimeout;
 }
 
 /// Requests the rows that a peer has and this instance is missing, if there are any.
@@ -336,7 +336,7 @@
     const bool isReader = store_.contact_ == Policy::StoreContact::Reached;
     const auto behindFor = now - *behindSince_;
     bool isDue = !isReader || behindFor >= readerFetchDelay;
-    if (isReader && behindFor >= Policy::readerPatience) {
+    if (isReader && behindFor >= Policy::readerCallTimeout) {
         for (const auto table : {StoreTable::Operators, StoreTable::Targets}) {
             if (!isCallHanging(table, *peer, now))
                 continue;
@@ -352,7 +352,7 @@
 {
     const auto now = std::chrono::steady_clock::now();
     if (behindSince_ && now - *behindSince_ > peerFetchTimeout)
-        return Policy::ReaderRank::First;
+        return Policy::ReaderRank::Active;
     // In a fleet that starts together, no instance knows the number of members yet.
     if (rounds_ < roundsToSettle)
         return Policy::ReaderRank::None;
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -44,8 +44,8 @@
 
     /// Sets the source of updates on crashed targets and quarantined requests, and the sink for
     /// those of peers; the sink also gets whether the peer is ready.
-    void setCrashExchange(std::function<Policy::CrashNews()> provide,
-                          std::function<void(const Policy::CrashNews &, bool)> receive);
+    void setCrashExchange(std::function<Policy::CrashUpdate()> provide,
+                          std::function<void(const Policy::CrashUpdate &, bool)> receive);
 
     /// Sets the function that tells whether this instance's call for a table has waited for changes
     /// since a time, and the one that restarts that call.
@@ -125,10 +125,10 @@
     };
     std::function<void(const std::vector<Policy::TargetLoad> &)> receiveLoads_
         = [](const auto &) {};
-    std::function<Policy::CrashNews()> provideCrashes_ = [] {
-        return Policy::CrashNews();
+    std::function<Policy::CrashUpdate()> provideCrashes_ = [] {
+        return Policy::CrashUpdate();
     };
-    std::function<void(const Policy::CrashNews &, bool)> receiveCrashes_
+    std::function<void(const Policy::CrashUpdate &, bool)> receiveCrashes_
         = [](const auto &, bool) {};
     std::function<bool(StoreTable, Model::SteadyTime)> hasWaitedSince_
         = [](StoreTable, Model::SteadyTime) {
--- a/Libraries/LibSteering/PeerMessage.cpp
+++ b/Libraries/LibSteering/PeerMessage.cpp
@@ -8,7 +8,7 @@
 using Model::SteadyTime;
 using nlohmann::json;
 using Policy::Member;
-using Policy::MemberPulse;
+using Policy::MemberHeartbeat;
 
 namespace {
 
@@ -40,7 +40,7 @@
     return NotAsked;
 }
 
-json toJson(const MemberPulse &heartbeatRecord)
+json toJson(const MemberHeartbeat &heartbeatRecord)
 {
     const unsigned flags = (heartbeatRecord.isReady_ ? readyFlag : 0U)
                            | (heartbeatRecord.isLeaving_ ? leavingFlag : 0U);
@@ -57,9 +57,9 @@
             heartbeatRecord.targetsRead_};
 }
 
-MemberPulse heartbeatFromJson(const json &text)
+MemberHeartbeat heartbeatFromJson(const json &text)
 {
-    MemberPulse heartbeatRecord;
+    MemberHeartbeat heartbeatRecord;
     heartbeatRecord.id_ = Model::InstanceId(text.at(Id).get<std::string>());
     heartbeatRecord.incarnation_
         = Model::Incarnation(text.at(IncarnationNumber).get<std::uint64_t>());
@@ -84,7 +84,7 @@
 json toJson(const Member &member)
 {
     const auto &instance = member.instance_;
-    return {{"pulse", toJson(member.pulse_)},
+    return {{"pulse", toJson(member.heartbeatRecord_)},
             {"region", instance.region_.value()},
             {"domain", instance.domain_.value()},
             {"entry", Model::toText(instance.addresses_.entry_)},
@@ -103,14 +103,14 @@
 Member memberFromJson(const json &text, SteadyTime now)
 {
     Member member;
-    member.pulse_ = heartbeatFromJson(text.at("pulse"));
+    member.heartbeatRecord_ = heartbeatFromJson(text.at("pulse"));
     auto &instance = member.instance_;
-    instance.id_ = member.pulse_.id_;
+    instance.id_ = member.heartbeatRecord_.id_;
     instance.region_ = Model::RegionId(text.at("region").get<std::string>());
     instance.domain_ = Model::FailureDomainId(text.at("domain").get<std::string>());
     instance.addresses_.entry_ = addressFromJson(text.at("entry"));
     instance.addresses_.control_ = addressFromJson(text.at("control"));
-    member.heardAt_ = now - member.pulse_.age_;
+    member.heartbeatAt_ = now - member.heartbeatRecord_.age_;
     return member;
 }
 
@@ -124,21 +124,21 @@
 }
 
 // Crashed incarnations and quarantines are encoded as arrays of numbers, like heartbeat records.
-json toJson(const Policy::CrashNews &update)
+json toJson(const Policy::CrashUpdate &update)
 {
     json runs = json::array();
     for (const auto &run : update.runs_) {
         json item = {run.run_.value(), run.age_.count()};
         for (const auto &suspect : run.suspects_) {
-            item.push_back(suspect.print_.request_);
-            item.push_back(suspect.print_.caller_);
+            item.push_back(suspect.fingerprint_.request_);
+            item.push_back(suspect.fingerprint_.caller_);
             item.push_back(suspect.isCleared_);
         }
         runs.push_back(std::move(item));
     }
     json quarantines = json::array();
     for (const auto &item : update.quarantines_) {
-        quarantines.push_back({item.print_.request_, item.print_.caller_, item.generation_,
+        quarantines.push_back({item.fingerprint_.request_, item.fingerprint_.caller_, item.generation_,
                                item.lifted_, item.age_.count()});
     }
     return {std::move(runs), std::move(quarantines)};
@@ -149,14 +149,14 @@
     return std::max(Model::Milliseconds(0), Model::Milliseconds(text.get<long long>()));
 }
 
-Policy::CrashNews crashesFromJson(const json &text)
+Policy::CrashUpdate crashesFromJson(const json &text)
 {
     constexpr std::size_t suspectsAt = 2;
     constexpr std::size_t suspectSize = 3;
-    Policy::CrashNews update;
+    Policy::CrashUpdate update;
     for (const auto &item : text.at(0)) {
-        Policy::ToldRun run;
-        run.run_ = Policy::RunKey(item.at(0).get<std::uint64_t>());
+        Policy::CrashReport run;
+        run.run_ = Policy::TargetIncarnationKey(item.at(0).get<std::uint64_t>());
         run.age_ = ageFromJson(item.at(1));
         for (std::size_t i = suspectsAt; i < item.size(); i += suspectSize) {
             run.suspects_.push_back(
@@ -185,10 +185,10 @@
 std::string toBytes(const PeerMessage &message)
 {
     json whole = json::array();
-    for (const auto &member : message.update_.whole_)
+    for (const auto &member : message.update_.fullRecords_)
         whole.push_back(toJson(member));
     json heartbeatRecords = json::array();
-    for (const auto &heartbeatRecord : message.update_.pulses_)
+    for (const auto &heartbeatRecord : message.update_.heartbeatRecords_)
         heartbeatRecords.push_back(toJson(heartbeatRecord));
     json loads = json::array();
     for (const auto &load : message.loads_)
@@ -213,9 +213,9 @@
         PeerMessage message;
         message.sender_ = memberFromJson(all.at("sender"), now);
         for (const auto &member : all.at("whole"))
-            message.update_.whole_.push_back(memberFromJson(member, now));
+            message.update_.fullRecords_.push_back(memberFromJson(member, now));
         for (const auto &heartbeatRecord : all.at("pulses"))
-            message.update_.pulses_.push_back(heartbeatFromJson(heartbeatRecord));
+            message.update_.heartbeatRecords_.push_back(heartbeatFromJson(heartbeatRecord));
         // Instances of an earlier version, which run beside this one during a rolling upgrade, send
         // no loads.
         for (const auto &load : all.value("loads", json::array()))
--- a/Libraries/LibSteering/PeerMessage.h
+++ b/Libraries/LibSteering/PeerMessage.h
@@ -12,9 +12,9 @@
 struct PeerMessage
 {
     Policy::Member sender_;
-    Policy::PeerNews update_;
+    Policy::PeerUpdate update_;
     std::vector<Policy::TargetLoad> loads_;
-    Policy::CrashNews crashes_;
+    Policy::CrashUpdate crashes_;
 };
 
 /// Encodes \a message as MessagePack: a full member record takes 150 bytes and a heartbeat record
--- a/Libraries/LibSteering/RequestContext.cpp
+++ b/Libraries/LibSteering/RequestContext.cpp
@@ -28,15 +28,15 @@
 std::uint32_t fingerprintPrefixFor(RequestContext &request, const HeaderNames &names)
 {
     if (!request.cachedPrefix_)
-        request.cachedPrefix_ = Policy::headOf(textOf(request, names));
+        request.cachedPrefix_ = Policy::fingerprintPrefixOf(textOf(request, names));
     return *request.cachedPrefix_;
 }
 
-const Policy::RequestPrint &fingerprintFor(RequestContext &request, const HeaderNames &names)
+const Policy::RequestFingerprint &fingerprintFor(RequestContext &request, const HeaderNames &names)
 {
     if (!request.cachedFingerprint_)
         request.cachedFingerprint_
-            = Policy::printOf(textOf(request, names), fingerprintPrefixFor(request, names));
+            = Policy::fingerprintOf(textOf(request, names), fingerprintPrefixFor(request, names));
     return *request.cachedFingerprint_;
 }
 
--- a/Libraries/LibSteering/RequestContext.h
+++ b/Libraries/LibSteering/RequestContext.h
@@ -32,7 +32,7 @@
     bool isAbandoned_ = false;
     /// Computed on first use.
     std::optional<std::uint32_t> cachedPrefix_;
-    std::optional<Policy::RequestPrint> cachedFingerprint_;
+    std::optional<Policy::RequestFingerprint> cachedFingerprint_;
     /// Holds the instance's only slot for serialized probes, that is, for requests suspected of
     /// crashing targets.
     bool holdsProbeSlot_ = false;
@@ -41,7 +41,7 @@
 /// Return the request's fingerprint prefix and its fingerprint. \a names are the platform's.
 /// Thread safety: \a request belongs to the calling thread.
 std::uint32_t fingerprintPrefixFor(RequestContext &request, const HeaderNames &names);
-const Policy::RequestPrint &fingerprintFor(RequestContext &request, const HeaderNames &names);
+const Policy::RequestFingerprint &fingerprintFor(RequestContext &request, const HeaderNames &names);
 
 /// The target chosen for a request, and the basis of the choice.
 struct Placement
--- a/Libraries/LibSteering/StoreFollower.cpp
+++ b/Libraries/LibSteering/StoreFollower.cpp
@@ -78,7 +78,7 @@
 {
     Policy::StoreStanding standing;
     standing.contact_ = contact();
-    standing.returnedAt_ = std::max(operators_.returnedAt_, targets_.returnedAt_);
+    standing.recoveredAt_ = std::max(operators_.recoveredAt_, targets_.recoveredAt_);
     if (operators_.answeredSince_ && targets_.answeredSince_) {
         standing.answeredSince_ = std::max(*operators_.answeredSince_, *targets_.answeredSince_);
         standing.targetsRead_ = targets_.readUpTo_.value();
@@ -156,14 +156,14 @@
 {
     if (!progress.answeredSince_ || progress.isRestarted_)
         return Milliseconds(0);
-    return rank_() == Policy::ReaderRank::First ? firstReaderMaxWait : maxWait;
+    return rank_() == Policy::ReaderRank::Active ? firstReaderMaxWait : maxWait;
 }
 
 Milliseconds StoreFollower::batchDelay(StoreTable table) const
 {
-    if (rank_() == Policy::ReaderRank::Reserve)
-        return Policy::gatherInReserve;
-    return table == StoreTable::Targets ? Policy::gatherTargets : operatorsBatchDelay;
+    if (rank_() == Policy::ReaderRank::Standby)
+        return Policy::standbyBatchDelay;
+    return table == StoreTable::Targets ? Policy::targetBatchDelay : operatorsBatchDelay;
 }
 
 void StoreFollower::setReading(StoreTable table, Progress &progress, bool isReading)
@@ -234,7 +234,7 @@
         log_.line(Event::StoreBack).add("table", nameOf(table));
     progress.confirmedAt_ = std::chrono::steady_clock::now();
     if (progress.failures_ > 0)
-        progress.returnedAt_ = progress.confirmedAt_;
+        progress.recoveredAt_ = progress.confirmedAt_;
     progress.isReached_ = true;
     progress.failures_ = 0;
     progress.readUpTo_ = readUpTo;
--- a/Libraries/LibSteering/StoreFollower.h
+++ b/Libraries/LibSteering/StoreFollower.h
@@ -46,7 +46,7 @@
         /// since one failed or since this instance began to read the store.
         std::optional<Model::SteadyTime> answeredSince_;
         /// When a call was last answered after a failed one.
-        Model::SteadyTime returnedAt_ = Model::longAgo;
+        Model::SteadyTime recoveredAt_ = Model::longAgo;
         /// The store itself has sent all changes up to this revision.
         Platform::Revision readUpTo_;
         int failures_ = 0;
--- a/Libraries/LibSteering/TargetRegistry.h
+++ b/Libraries/LibSteering/TargetRegistry.h
@@ -83,7 +83,7 @@
     std::optional<Policy::RemovedRegistration> removedRegistration_;
     /// Requests whose connections broke before it was known whether the target ended, and when the
     /// last one broke.
-    std::vector<Policy::RequestPrint> lostRequests_;
+    std::vector<Policy::RequestFingerprint> lostRequests_;
     Model::SteadyTime lastLossAt_ = Model::longAgo;
     /// A probe of whether it still listens is in progress.
     bool isListenProbePending_ = false;
--- a/Libraries/LibSteering/TargetRemovals.cpp
+++ b/Libraries/LibSteering/TargetRemovals.cpp
@@ -70,7 +70,7 @@
         Policy::RemovedRegistration removed;
         removed.revision_ = mirror.removedAt(id.value()).value_or(mirror.position()).value();
         removed.noticedAt_ = removals_.try_emplace(id, now).first->second;
-        removed.isOneOfMany_ = static_cast<std::size_t>(unannounced) >= Policy::manyAtOnce;
+        removed.isSimultaneousRemoval_ = static_cast<std::size_t>(unannounced) >= Policy::minSimultaneousRemovals;
         const auto until = Policy::usableUntil(removed, evidence);
         if (until > now && !target->record_.isLeaving_) {
             target->removedRegistration_ = removed;
--- a/Services/Controld/ControlSnapshots.cpp
+++ b/Services/Controld/ControlSnapshots.cpp
@@ -61,7 +61,7 @@
         mark->set_target(target.value());
         mark->set_incarnation(incarnation.value());
     }
-    *live.mutable_crashes() = Peers::toMessage(Policy::newsOf(gossip_.crashes_, now));
+    *live.mutable_crashes() = Peers::toMessage(Policy::crashUpdateFrom(gossip_.crashes_, now));
     const std::size_t known = std::max(listed_.size(), gossip_.members_.members_.size() + 1);
     live.set_fleet_size(static_cast<std::uint32_t>(known));
     return live;
--- a/Services/Controld/ControlState.cpp
+++ b/Services/Controld/ControlState.cpp
@@ -106,8 +106,8 @@
     Peers::removeSilentMembers(gossip_.members_, silentMemberRetention, steadyNow());
     refreshSummary();
     updateQuarantines();
-    if (steadyNow() - startedAt_ >= Policy::startPatience)
-        start_.peersHadTheirSay_ = true;
+    if (steadyNow() - startedAt_ >= Policy::startAloneDelay)
+        start_.peersAnswered_ = true;
     updateReadiness();
     updateAllRegionsKnown();
     recordUrgentChange();
@@ -151,7 +151,7 @@
 void ControlState::refreshSummary()
 {
     const bool isNew = steadyNow() - startedAt_ < Peers::memberLifetime;
-    if (isNew && (localRegionHasSummary_ || !start_.peersHadTheirSay_))
+    if (isNew && (localRegionHasSummary_ || !start_.peersAnswered_))
         return;
     Peers::Members all = gossip_.members_;
     all.members_[gossip_.self_.instance_.id_] = {gossip_.self_, steadyNow()};
@@ -184,7 +184,7 @@
     const auto result = Peers::takeInAnswer(gossip_, answer, steadyNow());
     if (!result.responder_)
         return;
-    start_.peersHadTheirSay_ = true;
+    start_.peersAnswered_ = true;
     localRegionHasSummary_ |= result.localRegionHasSummary_;
     if (result.responder_->domain_ != settings_.domain_ && result.responderIsReady_) {
         auto &version = start_.peerVersions_[result.responder_->domain_];
--- a/Services/Controld/ControlState.h
+++ b/Services/Controld/ControlState.h
@@ -94,7 +94,7 @@
     mutable std::mutex mutex_;
     std::condition_variable changed_;
     Peers::GossipState gossip_;
-    Policy::StartKnowledge start_;
+    Policy::StartupState start_;
     std::vector<Model::Instance> listed_;
     std::string clientBlocks_;
     std::uint64_t changeCount_ = 1;
--- a/Services/Entryd/Attempts.cpp
+++ b/Services/Entryd/Attempts.cpp
@@ -87,7 +87,7 @@
         return !target->isLeaving_.load();
     };
     options.watchPeriod_ = Policy::tickPeriod;
-    options.sendPatience_ = Policy::sendPatience;
+    options.sendPatience_ = Policy::sendToLeavingTimeout;
     options.sends_ = [&] {
         noteSend(*target, steadyNow());
     };
--- a/Services/Entryd/CallerRequest.h
+++ b/Services/Entryd/CallerRequest.h
@@ -31,7 +31,7 @@
     std::uint64_t requestHash_ = 0;
     /// Computed on first use.
     std::optional<std::uint32_t> cachedFingerprintPrefix_;
-    std::optional<Policy::RequestPrint> cachedFingerprint_;
+    std::optional<Policy::RequestFingerprint> cachedFingerprint_;
     /// The request holds the entry's single probe slot for requests suspected of crashing targets.
     bool isSerializedProbe_ = false;
 };
--- a/Services/Entryd/CrashGuard.cpp
+++ b/Services/Entryd/CrashGuard.cpp
@@ -11,7 +11,7 @@
 using Model::SteadyTime;
 using nlohmann::json;
 using Observe::Event;
-using Policy::RequestPrint;
+using Policy::RequestFingerprint;
 using Policy::RequestStanding;
 
 namespace {
@@ -40,15 +40,15 @@
 std::uint32_t cachedFingerprintPrefix(CallerRequest &request)
 {
     if (!request.cachedFingerprintPrefix_)
-        request.cachedFingerprintPrefix_ = Policy::headOf(textOf(request));
+        request.cachedFingerprintPrefix_ = Policy::fingerprintPrefixOf(textOf(request));
     return *request.cachedFingerprintPrefix_;
 }
 
-const RequestPrint &cachedFingerprint(CallerRequest &request)
+const RequestFingerprint &cachedFingerprint(CallerRequest &request)
 {
     if (!request.cachedFingerprint_)
         request.cachedFingerprint_
-            = Policy::printOf(textOf(request), cachedFingerprintPrefix(request));
+            = Policy::fingerprintOf(textOf(request), cachedFingerprintPrefix(request));
     return *request.cachedFingerprint_;
 }
 
@@ -65,15 +65,15 @@
 {
     if (!mayBeSuspect(request))
         return std::nullopt;
-    const RequestPrint &fingerprint = cachedFingerprint(request);
+    const RequestFingerprint &fingerprint = cachedFingerprint(request);
     const auto found = view_.read([&](const Policy::CrashView *view) {
         return Policy::standingOf(*view, fingerprint, now);
     });
-    Milliseconds retryDelay = Policy::comeBackFromTrial;
+    Milliseconds retryDelay = Policy::serializedProbeRetryDelay;
     switch (found.standing_) {
     case RequestStanding::Free:
         return std::nullopt;
-    case RequestStanding::Trial:
+    case RequestStanding::SerializedProbe:
         // A retried request, which may only have shared the lost target with the suspect one, is
         // still sent.
         if (request.isSerializedProbe_ || attempts > 0)
@@ -102,16 +102,16 @@
     // The exit of a leaving target is not a crash.
     if (target.isLeaving_)
         return false;
-    const RequestPrint &fingerprint = cachedFingerprint(request);
+    const RequestFingerprint &fingerprint = cachedFingerprint(request);
     const std::lock_guard lock(mutex_);
     hasLosses_ = true;
     LostConnections &losses = losses_[target.target_.id_];
     const Model::Incarnation incarnation(target.incarnation_);
-    if (losses.incarnation_ != incarnation || now - losses.lostAt_ > Policy::lossMemory)
+    if (losses.incarnation_ != incarnation || now - losses.lostAt_ > Policy::connectionLossWindow)
         losses = {};
     losses.incarnation_ = incarnation;
     losses.lostAt_ = now;
-    if (losses.fingerprints_.size() < Policy::mostSuspects)
+    if (losses.fingerprints_.size() < Policy::maxSuspectsPerCrash)
         losses.fingerprints_.push_back(fingerprint);
     std::string name(textOf(request.message_.method_string()));
     name += " " + std::string(textOf(request.message_.target()));
@@ -146,7 +146,7 @@
     const bool isOtherIncarnation
         = losses.incarnation_.value() != 0
           && losses.incarnation_ != Model::Incarnation(target.incarnation_);
-    if (isOtherIncarnation && now - losses.lostAt_ <= Policy::lossMemory)
+    if (isOtherIncarnation && now - losses.lostAt_ <= Policy::connectionLossWindow)
         recordCrash(target, losses, now);
     if (isOtherIncarnation)
         losses_.erase(found);
@@ -162,7 +162,7 @@
              {"in_progress", std::to_string(losses.fingerprints_.size())},
              {"print", losses.fingerprints_.empty() ? "" : toText(losses.fingerprints_.front())}});
     }
-    Policy::noteEnded(crashRecords_, Policy::runKeyOf(target.target_.id_, losses.incarnation_),
+    Policy::noteEnded(crashRecords_, Policy::targetIncarnationKeyOf(target.target_.id_, losses.incarnation_),
                       losses.fingerprints_, now);
     losses.fingerprints_.clear();
     isStale_ = true;
@@ -173,7 +173,7 @@
 {
     if (!mayBeSuspect(request))
         return;
-    const RequestPrint &fingerprint = cachedFingerprint(request);
+    const RequestFingerprint &fingerprint = cachedFingerprint(request);
     const std::lock_guard lock(mutex_);
     const bool wasChanged = std::exchange(crashRecords_.isChanged_, false);
     if (Policy::noteAnswered(crashRecords_, fingerprint, now)) {
@@ -185,16 +185,16 @@
     crashRecords_.isChanged_ |= wasChanged;
 }
 
-void CrashGuard::applyUpdate(const Policy::CrashNews &update, SteadyTime now)
+void CrashGuard::applyUpdate(const Policy::CrashUpdate &update, SteadyTime now)
 {
     const std::lock_guard lock(mutex_);
     isStale_ |= Policy::takeIn(crashRecords_, update, now);
 }
 
-Policy::CrashNews CrashGuard::makeUpdate(SteadyTime now) const
+Policy::CrashUpdate CrashGuard::makeUpdate(SteadyTime now) const
 {
     const std::lock_guard lock(mutex_);
-    return Policy::newsOf(crashRecords_, now);
+    return Policy::crashUpdateFrom(crashRecords_, now);
 }
 
 void CrashGuard::step(SteadyTime now)
@@ -203,10 +203,10 @@
     {
         const std::lock_guard lock(mutex_);
         std::erase_if(losses_, [&](const auto &entry) {
-            return now - entry.second.lostAt_ > Policy::lossMemory;
+            return now - entry.second.lostAt_ > Policy::connectionLossWindow;
         });
         hasLosses_ = !losses_.empty();
-        if (!isStale_ && crashRecords_.pending_.empty() && now - reviewedAt_ <= Policy::reviewPause)
+        if (!isStale_ && crashRecords_.pending_.empty() && now - reviewedAt_ <= Policy::crashReviewInterval)
             return;
         reviewedAt_ = now;
         isStale_ = false;
@@ -250,7 +250,7 @@
     return all.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
 }
 
-bool CrashGuard::releaseQuarantine(const RequestPrint &fingerprint)
+bool CrashGuard::releaseQuarantine(const RequestFingerprint &fingerprint)
 {
     const std::lock_guard lock(mutex_);
     if (!Policy::liftQuarantine(crashRecords_, fingerprint, steadyNow())) {
--- a/Services/Entryd/CrashGuard.h
+++ b/Services/Entryd/CrashGuard.h
@@ -44,8 +44,8 @@
     /// Makes the quarantine decisions that are due and publishes the view that check() reads.
     void step(Model::SteadyTime now);
     /// Applies a crash update received from the control process.
-    void applyUpdate(const Policy::CrashNews &update, Model::SteadyTime now);
-    Policy::CrashNews makeUpdate(Model::SteadyTime now) const;
+    void applyUpdate(const Policy::CrashUpdate &update, Model::SteadyTime now);
+    Policy::CrashUpdate makeUpdate(Model::SteadyTime now) const;
     /// Returns a counter that grows with each change that peers should receive.
     std::uint64_t changes() const { return changes_; }
 
@@ -53,7 +53,7 @@
     std::string listText() const;
     /// Releases a quarantine on an operator's command. Returns false, with UnknownRow as the last
     /// reason, if none is in force.
-    bool releaseQuarantine(const Policy::RequestPrint &fingerprint);
+    bool releaseQuarantine(const Policy::RequestFingerprint &fingerprint);
 
     std::uint64_t refusedRequests() const { return refusedRequests_; }
     std::uint64_t crashedTargets() const { return crashedTargets_; }
@@ -64,7 +64,7 @@
     struct LostConnections
     {
         Model::Incarnation incarnation_;
-        std::vector<Policy::RequestPrint> fingerprints_;
+        std::vector<Policy::RequestFingerprint> fingerprints_;
         Model::SteadyTime lostAt_;
         bool isListenCheckPending_ = false;
         bool hasCrashed_ = false;
@@ -74,7 +74,7 @@
     bool mayBeSuspect(CallerRequest &request) const;
 
     mutable std::mutex mutex_;
-    Policy::CrashBook crashRecords_;
+    Policy::CrashRecords crashRecords_;
     std::map<Model::TargetId, LostConnections> losses_;
     Policy::RequestNames names_;
     Model::SteadyTime reviewedAt_ = Model::longAgo;
--- a/Services/Entryd/Prober.cpp
+++ b/Services/Entryd/Prober.cpp
@@ -30,7 +30,7 @@
         });
         for (const auto &target : targets)
             Http::asio::co_spawn(context_, probe(target), Http::asio::detached);
-        co_await Http::sleepFor(Policy::probePause);
+        co_await Http::sleepFor(Policy::targetProbeInterval);
     }
 }
 
--- a/Services/Entryd/ServiceQueue.cpp
+++ b/Services/Entryd/ServiceQueue.cpp
@@ -236,8 +236,8 @@
     std::vector<Policy::DomainView> views(domains.size());
     for (std::size_t i = 0; i < domains.size(); ++i) {
         Policy::DomainView &view = views[i];
-        view.isNear_ = domains[i].region_ == localRegion;
-        if (!view.isNear_) {
+        view.isInLocalRegion_ = domains[i].region_ == localRegion;
+        if (!view.isInLocalRegion_) {
             view.isUsable_ = !plan.outage_.isOut(i) && !snapshot.remoteEntries_[i].empty();
             continue;
         }
@@ -278,13 +278,13 @@
     Policy::DomainCredits &credits = credits_[request.origin_];
     const Policy::DomainCredits before = credits;
     const auto views = domainViews(snapshot, plan, canFill, now);
-    const double debt = origin.isMoving_ ? Policy::debtWhileMoving : Policy::debtWhileStanding;
+    const double debt = origin.isMoving_ ? Policy::maxDebtWhileShifting : Policy::maxDebtWhileStable;
     const auto choice = Policy::chooseDomain(credits, origin.shares_, views, debt);
     if (choice.verdict_ == Policy::DomainVerdict::NoneUsable)
         return Placement(Rejection{ResultCode::NoTarget, origin.retryDelay_});
     if (choice.verdict_ == Policy::DomainVerdict::ShiftLimited)
         return Placement(Rejection{ResultCode::ShiftLimited, origin.retryDelay_});
-    if (!views[choice.domain_].isNear_) {
+    if (!views[choice.domain_].isInLocalRegion_) {
         const auto &entries = snapshot.remoteEntries_[choice.domain_];
         const auto chosen = Policy::chooseEntry(entryFailures_, entries, random_(), now);
         if (!chosen)
--- a/Tests/LibPolicy/SimulatedFleet.cpp
+++ b/Tests/LibPolicy/SimulatedFleet.cpp
@@ -10,17 +10,17 @@
 {
     if (reported.instance_.id_ == node.instance_.id_)
         return;
-    reported.isFar_ = reported.instance_.region_ != node.instance_.region_;
-    Policy::hearOf(node.members_, reported, now - reported.pulse_.age_);
+    reported.isRemote_ = reported.instance_.region_ != node.instance_.region_;
+    Policy::mergeMemberRecord(node.members_, reported, now - reported.heartbeatRecord_.age_);
 }
 
-void receiveUpdate(Node &node, const Policy::PeerNews &news, Model::SteadyTime now)
+void receiveUpdate(Node &node, const Policy::PeerUpdate &news, Model::SteadyTime now)
 {
-    for (const auto &member : news.whole_)
+    for (const auto &member : news.fullRecords_)
         receive(node, member, now);
-    for (const auto &pulse : news.pulses_) {
+    for (const auto &pulse : news.heartbeatRecords_) {
         if (pulse.id_ != node.instance_.id_)
-            Policy::hearPulse(node.members_, pulse, now);
+            Policy::mergeHeartbeatRecord(node.members_, pulse, now);
     }
 }
 
@@ -47,7 +47,7 @@
         for (std::size_t region = 0; region < shape.regions_; ++region) {
             Policy::Member seed;
             seed.instance_ = nodes_[region * inRegion].instance_;
-            seed.isHearsay_ = true;
+            seed.isUnconfirmed_ = true;
             receive(node, seed, now_);
         }
     }
@@ -62,11 +62,11 @@
 {
     Policy::Member &own = node.members_[node.instance_.id_];
     own.instance_ = node.instance_;
-    own.heardAt_ = now_;
-    own.pulse_.id_ = node.instance_.id_;
-    own.pulse_.incarnation_ = Model::Incarnation(1);
-    ++own.pulse_.heartbeat_;
-    own.pulse_.regionEntries_ = static_cast<std::uint32_t>(
+    own.heartbeatAt_ = now_;
+    own.heartbeatRecord_.id_ = node.instance_.id_;
+    own.heartbeatRecord_.incarnation_ = Model::Incarnation(1);
+    ++own.heartbeatRecord_.heartbeat_;
+    own.heartbeatRecord_.regionEntries_ = static_cast<std::uint32_t>(
         Policy::entriesIn(node.members_, node.instance_.region_, now_));
 }
 
@@ -79,15 +79,15 @@
     const bool isLocal = asker.instance_.region_ == asked.instance_.region_;
     remoteExchanges_ += isLocal ? 0 : 1;
     crossDomainExchanges_ += isLocal && asker.instance_.domain_ != asked.instance_.domain_ ? 1 : 0;
-    const auto known = Policy::pulsesToAskWith(asker.members_, asker.instance_,
+    const auto known = Policy::heartbeatRecordsForRequest(asker.members_, asker.instance_,
                                                asked.instance_.region_, now_, random_());
     receive(asked, asker.members_.at(asker.instance_.id_), now_);
     receiveUpdate(asked, {{}, known}, now_);
     sendCrashUpdate(asker, asked);
     const auto news
-        = Policy::newsFor(asked.members_, asked.instance_, asker.instance_, known, now_, random_());
+        = Policy::peerUpdateFor(asked.members_, asked.instance_, asker.instance_, known, now_, random_());
     maxMembersInMessage_
-        = std::max({maxMembersInMessage_, known.size(), news.whole_.size() + news.pulses_.size()});
+        = std::max({maxMembersInMessage_, known.size(), news.fullRecords_.size() + news.heartbeatRecords_.size()});
     receive(asker, asked.members_.at(asked.instance_.id_), now_);
     receiveUpdate(asker, news, now_);
     sendCrashUpdate(asked, asker);
@@ -95,7 +95,7 @@
 
 void Fleet::sendCrashUpdate(const Node &sender, Node &receiver)
 {
-    const auto news = Policy::newsOf(sender.crashes_, now_);
+    const auto news = Policy::crashUpdateFrom(sender.crashes_, now_);
     crashRecordsSent_ += news.runs_.size() + news.quarantines_.size();
     Policy::takeIn(receiver.crashes_, news, now_);
 }
@@ -104,7 +104,7 @@
 {
     for (int i = 0; i < rounds; ++i) {
         for (auto &node : nodes_) {
-            Policy::forgetStrangers(node.members_, now_);
+            Policy::forgetNonContacts(node.members_, now_);
             if (node.isRunning_)
                 incrementHeartbeat(node);
         }
--- a/Tests/LibPolicy/SimulatedFleet.h
+++ b/Tests/LibPolicy/SimulatedFleet.h
@@ -15,7 +15,7 @@
 {
     Model::Instance instance_;
     Policy::Members members_;
-    Policy::CrashBook crashes_;
+    Policy::CrashRecords crashes_;
     bool isRunning_ = true;
 };
 
--- a/Tests/LibPolicy/TestConsistency.cpp
+++ b/Tests/LibPolicy/TestConsistency.cpp
@@ -109,7 +109,7 @@
 
     void newInstanceServesOnlyWithEnoughState()
     {
-        Policy::StartKnowledge knowledge;
+        Policy::StartupState knowledge;
         CPPUNIT_ASSERT(!Policy::mayServe(knowledge));
         knowledge.heldVersion_ = Model::TableVersion(3);
         CPPUNIT_ASSERT(!Policy::mayServe(knowledge));
@@ -124,7 +124,7 @@
         knowledge.storeAnswered_ = true;
         knowledge.storeVersion_ = Model::TableVersion(2);
         CPPUNIT_ASSERT_MESSAGE("the store alone may lag", !Policy::mayServe(knowledge));
-        knowledge.peersHadTheirSay_ = true;
+        knowledge.peersAnswered_ = true;
         CPPUNIT_ASSERT(Policy::mayServe(knowledge));
         knowledge.peerVersions_[Model::FailureDomainId("a")] = Model::TableVersion(3);
         CPPUNIT_ASSERT_MESSAGE("a peer has a newer one", !Policy::mayServe(knowledge));
--- a/Tests/LibPolicy/TestCrashEvidence.cpp
+++ b/Tests/LibPolicy/TestCrashEvidence.cpp
@@ -7,24 +7,24 @@
 
 using Model::Milliseconds;
 using Model::SteadyTime;
-using Policy::CrashBook;
-using Policy::RequestPrint;
+using Policy::CrashRecords;
+using Policy::RequestFingerprint;
 using Policy::RequestStanding;
-using Policy::RunKey;
+using Policy::TargetIncarnationKey;
 
 const SteadyTime start{std::chrono::hours(30)};
-constexpr RequestPrint poison{0xC000000000000001, 7};
-constexpr RequestPrint innocent{0xA000000000000001, 8};
+constexpr RequestFingerprint poison{0xC000000000000001, 7};
+constexpr RequestFingerprint innocent{0xA000000000000001, 8};
 constexpr Milliseconds step{250};
 
-RunKey incarnationKey(std::uint64_t number)
+TargetIncarnationKey incarnationKey(std::uint64_t number)
 {
-    return RunKey(number);
+    return TargetIncarnationKey(number);
 }
 
 /// Crashes \a count targets that process \a prints, the first at \a from, the others a step apart.
 /// Returns when the last one crashed.
-SteadyTime crashTargets(CrashBook &records, const std::vector<RequestPrint> &fingerprints,
+SteadyTime crashTargets(CrashRecords &records, const std::vector<RequestFingerprint> &fingerprints,
                         int count, SteadyTime from = start)
 {
     static std::uint64_t number = 1000;
@@ -34,7 +34,7 @@
 }
 
 /// Judges as an instance does, every tick, from \a from until a quarantine decision is due.
-SteadyTime judgeUntilDue(CrashBook &records, SteadyTime from)
+SteadyTime judgeUntilDue(CrashRecords &records, SteadyTime from)
 {
     auto now = from;
     for (; now <= from + Policy::settleTime + Milliseconds(100); now += Milliseconds(100))
@@ -42,7 +42,7 @@
     return now;
 }
 
-RequestStanding standing(const CrashBook &records, const RequestPrint &fingerprint, SteadyTime now)
+RequestStanding standing(const CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
 {
     return Policy::standingOf(Policy::viewOf(records, now), fingerprint, now).standing_;
 }
@@ -73,26 +73,26 @@
     void fingerprintIsTheSameForARepeatOnly()
     {
         const Policy::RequestText text{"POST", "h", "/a/b?c", "body", "pilot"};
-        const auto fingerprint = Policy::printOf(text);
-        CPPUNIT_ASSERT(fingerprint == Policy::printOf(text));
-        CPPUNIT_ASSERT(Policy::headOf(fingerprint) == Policy::headOf(text));
+        const auto fingerprint = Policy::fingerprintOf(text);
+        CPPUNIT_ASSERT(fingerprint == Policy::fingerprintOf(text));
+        CPPUNIT_ASSERT(Policy::fingerprintPrefixOf(fingerprint) == Policy::fingerprintPrefixOf(text));
         const std::vector<Policy::RequestText> others = {{"GET", "h", "/a/b?c", "body", "pilot"},
                                                          {"POST", "g", "/a/b?c", "body", "pilot"},
                                                          {"POST", "h", "/a/b?d", "body", "pilot"},
                                                          {"POST", "h", "/a/b?c", "bodi", "pilot"},
                                                          {"POST", "h", "/a/b?c", "body", "pilots"}};
         for (const auto &other : others)
-            CPPUNIT_ASSERT(fingerprint != Policy::printOf(other));
-        CPPUNIT_ASSERT(fingerprint.request_ == Policy::printOf(others.back()).request_);
-        CPPUNIT_ASSERT(Policy::printFromText(toText(fingerprint)) == fingerprint);
+            CPPUNIT_ASSERT(fingerprint != Policy::fingerprintOf(other));
+        CPPUNIT_ASSERT(fingerprint.request_ == Policy::fingerprintOf(others.back()).request_);
+        CPPUNIT_ASSERT(Policy::fingerprintFromText(toText(fingerprint)) == fingerprint);
         for (const auto *bad : {"", "12", "0123456789abcdef_01234567", "0123456789abcdef-0123456x"})
-            CPPUNIT_ASSERT(!Policy::printFromText(bad));
+            CPPUNIT_ASSERT(!Policy::fingerprintFromText(bad));
     }
 
     // Guards against sending on a request that crashes targets while its quarantine is pending.
     void requestIsPendingAtItsThirdCrashAndQuarantinedSoonAfter()
     {
-        CrashBook records;
+        CrashRecords records;
         const auto third = crashTargets(records, {poison}, 3);
         Policy::judge(records, third);
         CPPUNIT_ASSERT(standing(records, poison, third) == RequestStanding::Pending);
@@ -103,18 +103,18 @@
 
     void suspectIsProbedSeriallyAfterTwoCrashes()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = crashTargets(records, {poison, innocent}, 1);
         CPPUNIT_ASSERT(standing(records, poison, now) == RequestStanding::Free);
         now = crashTargets(records, {poison}, 1, now + step);
-        CPPUNIT_ASSERT(standing(records, poison, now) == RequestStanding::Trial);
+        CPPUNIT_ASSERT(standing(records, poison, now) == RequestStanding::SerializedProbe);
         CPPUNIT_ASSERT(standing(records, innocent, now) == RequestStanding::Free);
     }
 
     // Guards against quarantining a request that was always in progress beside the poison request.
     void bystanderIsNotQuarantinedWhenThePoisonRequestCrashesOthers()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = crashTargets(records, {poison, innocent}, 4);
         now = judgeUntilDue(records, now);
         CPPUNIT_ASSERT(records.quarantines_.empty());
@@ -128,8 +128,8 @@
     // Guards against a quarantine that rests on a part of the fleet's evidence.
     void bystanderQuarantinedTooEarlyIsReleasedByReportsOfOthers()
     {
-        CrashBook records;
-        std::vector<RunKey> runs;
+        CrashRecords records;
+        std::vector<TargetIncarnationKey> runs;
         for (std::uint64_t i = 1; i <= 3; ++i) {
             runs.push_back(incarnationKey(i));
             Policy::noteEnded(records, runs.back(), {innocent}, start + i * step);
@@ -148,9 +148,9 @@
     // Guards against quarantining a common request because targets were killed or lost power.
     void simultaneousCrashesQuarantineNoRequest()
     {
-        CrashBook records;
+        CrashRecords records;
         for (std::uint64_t i = 1; i <= 20; ++i) {
-            const RequestPrint other{0xB000000000000000 + i, 9};
+            const RequestFingerprint other{0xB000000000000000 + i, 9};
             Policy::noteEnded(records, incarnationKey(i), {innocent, other},
                               start + Milliseconds(i));
         }
@@ -161,7 +161,7 @@
 
     void answeredRequestIsCleared()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = crashTargets(records, {innocent}, 2);
         CPPUNIT_ASSERT(!Policy::noteAnswered(records, innocent, now));
         CPPUNIT_ASSERT(standing(records, innocent, now) == RequestStanding::Free);
@@ -172,7 +172,7 @@
 
     void answerReleasesAQuarantine()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = judgeUntilDue(records, crashTargets(records, {innocent}, 3));
         CPPUNIT_ASSERT(standing(records, innocent, now) == RequestStanding::Quarantined);
         // It was in progress at another target throughout.
@@ -185,20 +185,20 @@
     // from another caller each time.
     void sameRequestOfManyCallersIsFound()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = start;
         for (std::uint32_t caller = 1; caller <= 3; ++caller)
             now = crashTargets(records, {{poison.request_, caller}}, 1, now + step);
         now = judgeUntilDue(records, now);
-        const RequestPrint fourth{poison.request_, 4};
+        const RequestFingerprint fourth{poison.request_, 4};
         CPPUNIT_ASSERT(standing(records, fourth, now) == RequestStanding::Quarantined);
     }
 
     // Guards against refusing all callers a request that crashes targets for one caller only.
     void otherCallersAreServedWhenOneCallersRequestIsQuarantined()
     {
-        CrashBook records;
-        const RequestPrint other{poison.request_, poison.caller_ + 1};
+        CrashRecords records;
+        const RequestFingerprint other{poison.request_, poison.caller_ + 1};
         auto now = crashTargets(records, {poison, other}, 1);
         now = crashTargets(records, {poison}, 3, now + step);
         Policy::noteAnswered(records, other, now);
@@ -213,8 +213,8 @@
 
     void twoPoisonRequestsAtOnceAreBothFound()
     {
-        CrashBook records;
-        const RequestPrint second{0xD000000000000001, 5};
+        CrashRecords records;
+        const RequestFingerprint second{0xD000000000000001, 5};
         auto now = start;
         for (int i = 0; i < 4; ++i) {
             crashTargets(records, {poison, innocent}, 1, now);
@@ -226,7 +226,7 @@
         CPPUNIT_ASSERT(standing(records, poison, now) == RequestStanding::Quarantined);
         CPPUNIT_ASSERT(standing(records, second, now) == RequestStanding::Quarantined);
         // Two that are always in progress together are found too, but later.
-        CrashBook shared;
+        CrashRecords shared;
         now = judgeUntilDue(shared, crashTargets(shared, {poison, second}, 8));
         CPPUNIT_ASSERT(standing(shared, poison, now) == RequestStanding::Quarantined);
     }
@@ -234,14 +234,14 @@
     // Guards against peers that restore a quarantine that an operator released.
     void releasedQuarantineStaysReleased()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = judgeUntilDue(records, crashTargets(records, {poison}, 3));
-        CrashBook peer;
-        Policy::takeIn(peer, Policy::newsOf(records, now), now);
+        CrashRecords peer;
+        Policy::takeIn(peer, Policy::crashUpdateFrom(records, now), now);
         CPPUNIT_ASSERT(Policy::liftQuarantine(records, poison, now));
         CPPUNIT_ASSERT(!Policy::liftQuarantine(records, poison, now));
-        Policy::takeIn(records, Policy::newsOf(peer, now), now);
-        Policy::takeIn(peer, Policy::newsOf(records, now), now);
+        Policy::takeIn(records, Policy::crashUpdateFrom(peer, now), now);
+        Policy::takeIn(peer, Policy::crashUpdateFrom(records, now), now);
         now = judgeUntilDue(records, now);
         judgeUntilDue(peer, now);
         CPPUNIT_ASSERT(standing(records, poison, now) == RequestStanding::Free);
@@ -250,13 +250,13 @@
         now = judgeUntilDue(records, crashTargets(records, {poison}, 3, now));
         const auto left = Policy::inForceUntil(records.quarantines_.at(poison)) - now;
         CPPUNIT_ASSERT(left > Policy::firstQuarantine);
-        Policy::takeIn(peer, Policy::newsOf(records, now), now);
+        Policy::takeIn(peer, Policy::crashUpdateFrom(records, now), now);
         CPPUNIT_ASSERT(standing(peer, poison, now) == RequestStanding::Quarantined);
     }
 
     void expiredQuarantineIsRenewedByOneCrash()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = judgeUntilDue(records, crashTargets(records, {poison}, 3));
         now += Policy::firstQuarantine + Milliseconds(1000);
         Policy::judge(records, now);
@@ -271,25 +271,25 @@
     {
         Support::assertProperty("the order of updates makes no difference", [] {
             // Three instances see a part each; one receives all parts in any order, some twice.
-            std::vector<CrashBook> seen(3);
+            std::vector<CrashRecords> seen(3);
             const int ends = *rc::gen::inRange(3, 12);
             for (int i = 0; i < ends; ++i) {
                 auto &records = seen[static_cast<std::size_t>(*rc::gen::inRange(0, 3))];
-                std::vector<RequestPrint> fingerprints = {poison};
+                std::vector<RequestFingerprint> fingerprints = {poison};
                 if (*rc::gen::inRange(0, 3) == 0)
                     fingerprints.push_back(innocent);
                 Policy::noteEnded(records, incarnationKey(static_cast<std::uint64_t>(i + 1)),
                                   fingerprints, start + i * step);
             }
             const auto now = start + ends * step;
-            const auto listen = [&](CrashBook &records, std::vector<std::size_t> order) {
+            const auto listen = [&](CrashRecords &records, std::vector<std::size_t> order) {
                 for (const auto from : order)
-                    Policy::takeIn(records, Policy::newsOf(seen[from], now), now);
+                    Policy::takeIn(records, Policy::crashUpdateFrom(seen[from], now), now);
                 Policy::noteAnswered(records, innocent, now);
                 judgeUntilDue(records, now);
             };
-            CrashBook one;
-            CrashBook other;
+            CrashRecords one;
+            CrashRecords other;
             listen(one, {0, 1, 2});
             listen(other, {2, 0, 2, 1, 0});
             RC_ASSERT(one.runs_.size() == other.runs_.size());
@@ -297,17 +297,17 @@
             RC_ASSERT(other.quarantines_.contains(poison));
             RC_ASSERT(!one.quarantines_.contains(innocent));
             // A repeated update changes nothing.
-            RC_ASSERT(!Policy::takeIn(other, Policy::newsOf(one, now), now));
+            RC_ASSERT(!Policy::takeIn(other, Policy::crashUpdateFrom(one, now), now));
         });
     }
 
     void lateInstanceReceivesQuarantines()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now
             = judgeUntilDue(records, crashTargets(records, {poison}, 3)) + Milliseconds(300000);
-        CrashBook fresh;
-        CPPUNIT_ASSERT(Policy::takeIn(fresh, Policy::newsOf(records, now), now));
+        CrashRecords fresh;
+        CPPUNIT_ASSERT(Policy::takeIn(fresh, Policy::crashUpdateFrom(records, now), now));
         CPPUNIT_ASSERT(standing(fresh, poison, now) == RequestStanding::Quarantined);
         const auto left = Policy::inForceUntil(fresh.quarantines_.at(poison)) - now;
         CPPUNIT_ASSERT(left < Policy::firstQuarantine - Milliseconds(290000));
@@ -316,31 +316,31 @@
     // Guards against memory use and messages that grow with callers' input.
     void recordsAndMessagesStaySmall()
     {
-        CrashBook records;
+        CrashRecords records;
         auto now = start;
         std::uint64_t number = 0;
         for (int i = 0; i < 2000; ++i) {
-            std::vector<RequestPrint> fingerprints;
+            std::vector<RequestFingerprint> fingerprints;
             for (int j = 0; j < 200; ++j)
                 fingerprints.push_back({++number, 1});
             Policy::noteEnded(records, incarnationKey(number), fingerprints, now);
             now += Milliseconds(10);
         }
         for (std::uint64_t i = 0; i < 1000; ++i) {
-            Policy::CrashNews update;
+            Policy::CrashUpdate update;
             update.quarantines_.push_back({{i << 32U, 1}, 1, 0, Milliseconds(0)});
             Policy::takeIn(records, update, now);
         }
         Policy::judge(records, now);
-        CPPUNIT_ASSERT(records.runs_.size() <= Policy::mostRuns);
+        CPPUNIT_ASSERT(records.runs_.size() <= Policy::maxCrashedIncarnations);
         for (const auto &[key, ended] : records.runs_)
-            CPPUNIT_ASSERT(ended.suspects_.size() <= Policy::mostSuspects);
+            CPPUNIT_ASSERT(ended.suspects_.size() <= Policy::maxSuspectsPerCrash);
         CPPUNIT_ASSERT(records.quarantines_.size() <= Policy::maxQuarantines);
-        const auto update = Policy::newsOf(records, now);
+        const auto update = Policy::crashUpdateFrom(records, now);
         CPPUNIT_ASSERT(update.runs_.size() <= Policy::maxCrashesInUpdate);
         CPPUNIT_ASSERT(update.quarantines_.size() <= Policy::maxQuarantinesInUpdate);
         CPPUNIT_ASSERT(Policy::viewOf(records, now).prefixes_.size()
-                       <= Policy::mostRuns * Policy::mostSuspects + Policy::maxQuarantines);
+                       <= Policy::maxCrashedIncarnations * Policy::maxSuspectsPerCrash + Policy::maxQuarantines);
     }
 
     // Guards against a quarantine that reaches some instances of a large fleet too late.
--- a/Tests/LibPolicy/TestPeerUpdate.cpp
+++ b/Tests/LibPolicy/TestPeerUpdate.cpp
@@ -18,8 +18,8 @@
         if (!node.isRunning_)
             continue;
         for (const auto &[id, member] : node.members_) {
-            if (member.isFar_ == ofRemoteMembers && !member.isHearsay_)
-                oldest = std::max(oldest, Policy::pulseAt(member, fleet.now_).age_);
+            if (member.isRemote_ == ofRemoteMembers && !member.isUnconfirmed_)
+                oldest = std::max(oldest, Policy::heartbeatRecordAt(member, fleet.now_).age_);
         }
     }
     return oldest;
@@ -38,7 +38,7 @@
 {
     return static_cast<std::size_t>(
         std::count_if(node.members_.begin(), node.members_.end(), [&](const auto &entry) {
-            return !entry.second.isHearsay_ && !Policy::isAlive(entry.second, fleet.now_);
+            return !entry.second.isUnconfirmed_ && !Policy::isAlive(entry.second, fleet.now_);
         }));
 }
 
@@ -85,7 +85,7 @@
                 fleet.playRounds(1);
                 const auto oldestLocal = oldestHeartbeatAge(fleet, false);
                 CPPUNIT_ASSERT_MESSAGE(std::to_string(oldestLocal.count()),
-                                       oldestLocal <= Policy::aliveFor);
+                                       oldestLocal <= Policy::maxHeartbeatAge);
                 for (const auto &node : fleet.nodes_) {
                     // Of a remote region, knowing some members suffices.
                     for (const char *region : {"r", "s", "t"})
@@ -154,9 +154,9 @@
             const auto roundsIn = [](Milliseconds time) {
                 return static_cast<int>(time / Fleet::roundPeriod) + 1;
             };
-            fleet.playRounds(roundsIn(Policy::aliveFor));
+            fleet.playRounds(roundsIn(Policy::maxHeartbeatAge));
             assertDead(fleet, dead.instance_, false);
-            fleet.playRounds(roundsIn(Policy::farAliveFor - Policy::aliveFor));
+            fleet.playRounds(roundsIn(Policy::maxRemoteHeartbeatAge - Policy::maxHeartbeatAge));
             assertDead(fleet, dead.instance_, true);
         }
     }
@@ -167,7 +167,7 @@
             const auto found = node.members_.find(dead.id_);
             if (!node.isRunning_ || found == node.members_.end())
                 continue;
-            if (!found->second.isFar_ || alsoRemote)
+            if (!found->second.isRemote_ || alsoRemote)
                 CPPUNIT_ASSERT(!Policy::isAlive(found->second, fleet.now_));
         }
     }
@@ -213,25 +213,25 @@
         fleet.playRounds(10);
         Node &reader = fleet.nodes_.front();
         Node &relay = fleet.nodes_[30];
-        reader.members_[reader.instance_.id_].pulse_.store_ = StoreContact::Reached;
+        reader.members_[reader.instance_.id_].heartbeatRecord_.store_ = StoreContact::Reached;
         for (std::uint64_t random = 0; random < 50; ++random) {
             const auto told = byDomain(
-                Policy::peersToTellAtOnce(reader.members_, reader.instance_, fleet.now_, random));
+                Policy::peersToAnnounceTo(reader.members_, reader.instance_, fleet.now_, random));
             const std::map<std::string, std::size_t> once{{"r-a", 1}, {"r-b", 1}, {"r-c", 1}};
             CPPUNIT_ASSERT(told == once);
             const auto passedOn = byDomain(
-                Policy::peersToTellAtOnce(relay.members_, relay.instance_, fleet.now_, random));
-            const std::map<std::string, std::size_t> inside{{"r-b", Policy::peersToldAtOnce}};
+                Policy::peersToAnnounceTo(relay.members_, relay.instance_, fleet.now_, random));
+            const std::map<std::string, std::size_t> inside{{"r-b", Policy::announcementFanout}};
             CPPUNIT_ASSERT(passedOn == inside);
         }
         // An instance that is alone in its domain announces it to the others.
         for (auto &[id, member] : relay.members_) {
             if (member.instance_.domain_ == relay.instance_.domain_)
-                member.isHearsay_ = id != relay.instance_.id_;
+                member.isUnconfirmed_ = id != relay.instance_.id_;
         }
         const auto beyond
-            = Policy::peersToTellAtOnce(relay.members_, relay.instance_, fleet.now_, 1);
-        CPPUNIT_ASSERT_EQUAL(Policy::peersToldAtOnce, beyond.size());
+            = Policy::peersToAnnounceTo(relay.members_, relay.instance_, fleet.now_, 1);
+        CPPUNIT_ASSERT_EQUAL(Policy::announcementFanout, beyond.size());
     }
 
     void updatesAreFetchedFromTheNearestPeer()
@@ -246,7 +246,7 @@
                        != informed.end();
             };
             for (std::uint64_t random = 0; random < 20; ++random) {
-                const auto *chosen = Policy::nearestThat(node.members_, node.instance_, knowsMore,
+                const auto *chosen = Policy::nearestPeerWith(node.members_, node.instance_, knowsMore,
                                                          fleet.now_, random);
                 CPPUNIT_ASSERT(chosen);
                 CPPUNIT_ASSERT_EQUAL(informed.back(), chosen->instance_.domain_.value());
@@ -256,7 +256,7 @@
             return false;
         };
         CPPUNIT_ASSERT(
-            !Policy::nearestThat(node.members_, node.instance_, noMember, fleet.now_, 1));
+            !Policy::nearestPeerWith(node.members_, node.instance_, noMember, fleet.now_, 1));
     }
 
     void remoteRegionsReportTheirOwnCounts()
@@ -300,7 +300,7 @@
     {
         for (auto &node : fleet.nodes_) {
             if (node.instance_.id_ == id)
-                node.members_[id].pulse_.store_ = contact;
+                node.members_[id].heartbeatRecord_.store_ = contact;
         }
     }
 
@@ -319,7 +319,7 @@
         std::size_t first = 0;
         for (const Node *node : readers(fleet, region)) {
             const auto rank = Policy::readerRank(node->members_, node->instance_, fleet.now_);
-            first += rank == Policy::ReaderRank::First ? 1 : 0;
+            first += rank == Policy::ReaderRank::Active ? 1 : 0;
         }
         return first;
     }
--- a/Tests/LibPolicy/TestPlacement.cpp
+++ b/Tests/LibPolicy/TestPlacement.cpp
@@ -41,7 +41,7 @@
             const int window = *rc::gen::inRange(1, 400);
             for (int i = 0; i < window; ++i) {
                 count
-                    += Policy::chooseDomain(credits, shares, views, Policy::debtWhileMoving).domain_
+                    += Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting).domain_
                                == 0
                            ? 1
                            : 0;
@@ -61,7 +61,7 @@
         int limited = 0;
         for (int i = 0; i < 100; ++i) {
             const auto verdict
-                = Policy::chooseDomain(credits, shares, views, Policy::debtWhileMoving).verdict_;
+                = Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting).verdict_;
             limited += verdict == DomainVerdict::ShiftLimited ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(50, limited);
@@ -74,12 +74,12 @@
         Policy::DomainCredits credits;
         int ahead = 0;
         for (int i = 0; i < 100; ++i) {
-            ahead += Policy::chooseDomain(credits, shares, views, Policy::debtWhileMoving).domain_
+            ahead += Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting).domain_
                              == 1
                          ? 1
                          : -1;
         }
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(ahead), ahead <= 2 * Policy::debtWhileMoving + 2);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(ahead), ahead <= 2 * Policy::maxDebtWhileShifting + 2);
     }
 
     void fullTargetsAreNeverChosen()
@@ -345,7 +345,7 @@
         Policy::noteEntryLost(failures, entries[1].addresses_.entryPeer_, start);
         CPPUNIT_ASSERT(!Policy::chooseEntry(failures, entries, 0, start));
         int tries = 0;
-        const Model::SteadyTime end = start + 10 * Policy::lostEntryPause;
+        const Model::SteadyTime end = start + 10 * Policy::lostEntryProbeInterval;
         for (auto now = start; now < end; now += Model::Milliseconds(10))
             tries += Policy::chooseEntry(failures, entries, 0, now) ? 1 : 0;
         CPPUNIT_ASSERT(tries >= 9 && tries <= 20);
--- a/Tests/LibPolicy/TestRegistrationExpiry.cpp
+++ b/Tests/LibPolicy/TestRegistrationExpiry.cpp
@@ -46,7 +46,7 @@
     void refusedInstanceFollowsAnInstanceThatTheStoreServed()
     {
         const StoreEvidence alone{refused(), {}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), alone) == noticed + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), alone) == noticed + Policy::registrationExpiryGrace);
         const StoreEvidence informed{refused(), {refused(), reached(longBefore, removedIn)}};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), informed) < noticed);
     }
@@ -56,7 +56,7 @@
     {
         const auto recovered = noticed - Milliseconds(900);
         const StoreEvidence evidence{reached(recovered, removedIn), {}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == recovered + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == recovered + Policy::registrationExpiryGrace);
     }
 
     // Guards against waiting longer if another instance saw the store recover before this one.
@@ -65,7 +65,7 @@
         const auto first = noticed - Milliseconds(1500);
         const auto own = noticed - Milliseconds(200);
         const StoreEvidence evidence{reached(own, removedIn), {reached(first, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == first + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == first + Policy::registrationExpiryGrace);
     }
 
     // Guards against dropping expired targets on the report of a peer whose own call still hangs.
@@ -74,17 +74,17 @@
         const auto hanging = reached(longBefore, removedIn - 5);
         const auto recovered = noticed - Milliseconds(100);
         const StoreEvidence reader{reached(recovered, removedIn), {hanging}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader) == recovered + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader) == recovered + Policy::registrationExpiryGrace);
         // The instance with the hanging call follows the reader's report.
         const StoreEvidence follower{hanging, {reached(recovered, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), follower) == recovered + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), follower) == recovered + Policy::registrationExpiryGrace);
     }
 
     void nonReaderConsidersARemovalALeave()
     {
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), {}) < noticed);
         const StoreEvidence evidence{{}, {reached(noticed, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == noticed + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == noticed + Policy::registrationExpiryGrace);
     }
 
     // Guards against considering an instance's start the store's recovery, or evidence that the
@@ -95,7 +95,7 @@
         const StoreStanding fresh{StoreContact::Reached, started, Model::longAgo, removedIn};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), {fresh, {}}) < noticed);
         const StoreEvidence other{refused(), {fresh}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), other) == started + Policy::lapseGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), other) == started + Policy::registrationExpiryGrace);
     }
 
     // Guards against dropping all targets at once after an outage during which calls kept waiting.
@@ -103,7 +103,7 @@
     {
         const StoreEvidence calm{reached(longBefore, removedIn), {}};
         const auto until = Policy::usableUntil(removal(true), calm);
-        CPPUNIT_ASSERT(until == noticed + Policy::unseenLapseGrace);
+        CPPUNIT_ASSERT(until == noticed + Policy::unobservedExpiryGrace);
     }
 
     void graceIsAtMostTheExpiryGrace()
@@ -121,7 +121,7 @@
             for (int i = 0; i < others; ++i)
                 evidence.others_.push_back(standing());
             const auto until = Policy::usableUntil(removal(*rc::gen::arbitrary<bool>()), evidence);
-            RC_ASSERT(until <= noticed + Policy::lapseGrace);
+            RC_ASSERT(until <= noticed + Policy::registrationExpiryGrace);
         });
     }
 
@@ -132,12 +132,12 @@
         for (const char *name : {"own", "living", "silent"}) {
             Policy::Member &member = members[Model::InstanceId(name)];
             member.instance_.id_ = Model::InstanceId(name);
-            member.heardAt_ = noticed - Milliseconds(100);
-            member.pulse_.store_ = StoreContact::Reached;
-            member.pulse_.storeAnswered_ = Milliseconds(5000);
-            member.pulse_.targetsRead_ = removedIn;
+            member.heartbeatAt_ = noticed - Milliseconds(100);
+            member.heartbeatRecord_.store_ = StoreContact::Reached;
+            member.heartbeatRecord_.storeAnswered_ = Milliseconds(5000);
+            member.heartbeatRecord_.targetsRead_ = removedIn;
         }
-        members[Model::InstanceId("silent")].heardAt_ = longBefore;
+        members[Model::InstanceId("silent")].heartbeatAt_ = longBefore;
         const auto standings = Policy::standingsOf(members, Model::InstanceId("own"), noticed);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), standings.size());
         CPPUNIT_ASSERT(standings[0].answeredSince_ == noticed - Milliseconds(5100));
--- a/Tests/LibPolicy/TestTargetChoice.cpp
+++ b/Tests/LibPolicy/TestTargetChoice.cpp
@@ -190,10 +190,10 @@
         Policy::Member result;
         result.instance_.id_ = Model::InstanceId(id);
         result.instance_.region_ = Model::RegionId(region);
-        result.pulse_.id_ = Model::InstanceId(id);
-        result.pulse_.incarnation_ = Model::Incarnation(run);
-        result.pulse_.heartbeat_ = beat;
-        result.pulse_.isReady_ = true;
+        result.heartbeatRecord_.id_ = Model::InstanceId(id);
+        result.heartbeatRecord_.incarnation_ = Model::Incarnation(run);
+        result.heartbeatRecord_.heartbeat_ = beat;
+        result.heartbeatRecord_.isReady_ = true;
         return result;
     }
 
@@ -203,11 +203,11 @@
     void silentInstancesAreNotAlive()
     {
         Policy::Members members;
-        Policy::hearOf(members, member("a", "r", 1, 7), start);
-        const auto later = start + Policy::aliveFor + Milliseconds(1);
-        CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 1, 7), later));
+        Policy::mergeMemberRecord(members, member("a", "r", 1, 7), start);
+        const auto later = start + Policy::maxHeartbeatAge + Milliseconds(1);
+        CPPUNIT_ASSERT(!Policy::mergeMemberRecord(members, member("a", "r", 1, 7), later));
         CPPUNIT_ASSERT(!Policy::isAlive(members.begin()->second, later));
-        CPPUNIT_ASSERT(Policy::hearOf(members, member("a", "r", 1, 8), later));
+        CPPUNIT_ASSERT(Policy::mergeMemberRecord(members, member("a", "r", 1, 8), later));
         CPPUNIT_ASSERT(Policy::isAlive(members.begin()->second, later));
     }
 
@@ -216,9 +216,9 @@
     void restartedInstanceIsAcceptedAtOnce()
     {
         Policy::Members members;
-        Policy::hearOf(members, member("a", "r", 1, 700), start);
-        CPPUNIT_ASSERT(Policy::hearOf(members, member("a", "r", 2, 1), start));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), members.begin()->second.pulse_.heartbeat_);
+        Policy::mergeMemberRecord(members, member("a", "r", 1, 700), start);
+        CPPUNIT_ASSERT(Policy::mergeMemberRecord(members, member("a", "r", 2, 1), start));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), members.begin()->second.heartbeatRecord_.heartbeat_);
     }
 
     // The clock of an instance's host steps back by two seconds, then its process is restarted. If
@@ -227,29 +227,29 @@
     void lowerIncarnationAfterAClockStepIsAccepted()
     {
         Policy::Members members;
-        Policy::hearOf(members, member("a", "r", 9, 700), start);
+        Policy::mergeMemberRecord(members, member("a", "r", 9, 700), start);
         const auto soon = start + Milliseconds(500);
-        CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 7, 1), soon));
-        const auto later = start + Policy::aliveFor + Milliseconds(1);
-        CPPUNIT_ASSERT(Policy::hearOf(members, member("a", "r", 7, 8), later));
+        CPPUNIT_ASSERT(!Policy::mergeMemberRecord(members, member("a", "r", 7, 1), soon));
+        const auto later = start + Policy::maxHeartbeatAge + Milliseconds(1);
+        CPPUNIT_ASSERT(Policy::mergeMemberRecord(members, member("a", "r", 7, 8), later));
         // Reports that peers still send of the previous incarnation are old by then.
-        CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 8, 701), start));
+        CPPUNIT_ASSERT(!Policy::mergeMemberRecord(members, member("a", "r", 8, 701), start));
     }
 
     void reportsOfAnEarlierIncarnationAreIgnored()
     {
         Policy::Members members;
-        Policy::hearOf(members, member("a", "r", 2, 1), start);
-        CPPUNIT_ASSERT(!Policy::hearOf(members, member("a", "r", 1, 900), start));
+        Policy::mergeMemberRecord(members, member("a", "r", 2, 1), start);
+        CPPUNIT_ASSERT(!Policy::mergeMemberRecord(members, member("a", "r", 1, 900), start));
     }
 
     void limitsStayDividedBySilentInstances()
     {
         Policy::Members members;
         for (const char *id : {"a", "b", "c"})
-            Policy::hearOf(members, member(id, "r", 1, 1), start);
-        Policy::hearOf(members, member("d", "s", 1, 1), start);
-        const auto later = start + Policy::aliveFor * 2;
+            Policy::mergeMemberRecord(members, member(id, "r", 1, 1), start);
+        Policy::mergeMemberRecord(members, member("d", "s", 1, 1), start);
+        const auto later = start + Policy::maxHeartbeatAge * 2;
         CPPUNIT_ASSERT(!Policy::isAlive(members.begin()->second, later));
         CPPUNIT_ASSERT_EQUAL(std::size_t(3),
                              Policy::entriesIn(members, Model::RegionId("r"), later));
--- a/Tests/LibSteering/FakePlatform.cpp
+++ b/Tests/LibSteering/FakePlatform.cpp
@@ -162,7 +162,7 @@
 {
     evidence_.own_.contact_ = Policy::StoreContact::Reached;
     evidence_.own_.answeredSince_ = now_;
-    evidence_.own_.returnedAt_ = now_;
+    evidence_.own_.recoveredAt_ = now_;
 }
 
 void Brain::update()
--- a/Tests/LibSteering/TestPeers.cpp
+++ b/Tests/LibSteering/TestPeers.cpp
@@ -156,7 +156,7 @@
     member.instance_.domain_ = Model::FailureDomainId("koper-a");
     member.instance_.addresses_.entry_ = {"10.1.0.35", 8144};
     member.instance_.addresses_.control_ = {"10.1.0.35", 8146};
-    auto &heartbeatRecord = member.pulse_;
+    auto &heartbeatRecord = member.heartbeatRecord_;
     heartbeatRecord.id_ = member.instance_.id_;
     heartbeatRecord.incarnation_ = Model::Incarnation(1764700000000000000);
     heartbeatRecord.heartbeat_ = 1234;
@@ -186,15 +186,15 @@
     void messagesRoundTrip()
     {
         PeerMessage message{makeMember("front-koper-a-1"), {}, {}};
-        message.update_.whole_.push_back(makeMember("front-koper-a-2"));
-        message.update_.pulses_.push_back(makeMember("front-koper-a-3").pulse_);
+        message.update_.fullRecords_.push_back(makeMember("front-koper-a-2"));
+        message.update_.heartbeatRecords_.push_back(makeMember("front-koper-a-3").heartbeatRecord_);
         message.loads_.push_back({0xfedcba98, 9, Milliseconds(120)});
         const auto read = Steering::peerMessageFromBytes(toBytes(message), now);
         CPPUNIT_ASSERT(read);
         CPPUNIT_ASSERT(read->sender_.instance_ == message.sender_.instance_);
-        CPPUNIT_ASSERT(read->sender_.heardAt_ == now - Milliseconds(350));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), read->update_.whole_.size());
-        const auto &heartbeatRecord = read->update_.pulses_.at(0);
+        CPPUNIT_ASSERT(read->sender_.heartbeatAt_ == now - Milliseconds(350));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), read->update_.fullRecords_.size());
+        const auto &heartbeatRecord = read->update_.heartbeatRecords_.at(0);
         CPPUNIT_ASSERT_EQUAL(std::string("front-koper-a-3"), heartbeatRecord.id_.value());
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(1234), heartbeatRecord.heartbeat_);
         CPPUNIT_ASSERT(heartbeatRecord.isReady_ && !heartbeatRecord.isLeaving_);
@@ -243,8 +243,8 @@
         nlohmann::json::to_msgpack(text, bytes);
         const auto read = Steering::peerMessageFromBytes(bytes, now);
         CPPUNIT_ASSERT(read && read->loads_.empty());
-        CPPUNIT_ASSERT(read->sender_.pulse_.age_ == Milliseconds(350));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), read->sender_.pulse_.targetsRead_);
+        CPPUNIT_ASSERT(read->sender_.heartbeatRecord_.age_ == Milliseconds(350));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), read->sender_.heartbeatRecord_.targetsRead_);
     }
 
     // Guards against gossip that fills a link of 10 Mbit/s as the fleet grows, because every
@@ -255,7 +255,7 @@
         const auto bare = toBytes(message).size();
         constexpr std::size_t count = 100;
         for (std::size_t i = 0; i < count; ++i)
-            message.update_.pulses_.push_back(makeMember("front-koper-a-10").pulse_);
+            message.update_.heartbeatRecords_.push_back(makeMember("front-koper-a-10").heartbeatRecord_);
         CPPUNIT_ASSERT(toBytes(message).size() - bare < 50 * count);
     }
 };
--- a/Tests/LibSteering/TestPlatformState.cpp
+++ b/Tests/LibSteering/TestPlatformState.cpp
@@ -207,7 +207,7 @@
         auto list = fourTargets();
         list.pop_back();
         brain.tellTargets(23, list);
-        brain.now_ += Policy::lapseGrace;
+        brain.now_ += Policy::registrationExpiryGrace;
         CPPUNIT_ASSERT(brain.dropMissing());
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
     }
@@ -240,7 +240,7 @@
         brain.tellTargets(21, list);
         Steering::RemovalAges ages;
         for (std::size_t i = 1; i < list.size(); ++i)
-            ages[list[i].key_] = Policy::unseenLapseGrace;
+            ages[list[i].key_] = Policy::unobservedExpiryGrace;
         brain.book_.hearRemovals(ages, brain.now_);
         list.resize(1);
         brain.tellTargets(22, list);
@@ -258,7 +258,7 @@
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), brain.book_.removalsToTell(brain.now_).size());
         brain.tellTargets(23, list);
         CPPUNIT_ASSERT(brain.book_.removalsToTell(brain.now_).empty());
-        brain.now_ += Policy::unseenLapseGrace;
+        brain.now_ += Policy::unobservedExpiryGrace;
         brain.tellTargets(24, {list.front()});
         CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
     }
--- a/Tests/Platform/TestOnPlatform.cpp
+++ b/Tests/Platform/TestOnPlatform.cpp
@@ -257,7 +257,7 @@
         const auto kept = log.find(keptAs);
         if (kept != std::string::npos) {
             const Milliseconds keptFor(std::stoi(log.substr(kept + keptAs.size())));
-            CPPUNIT_ASSERT(keptFor < Policy::lapseGrace / 2);
+            CPPUNIT_ASSERT(keptFor < Policy::registrationExpiryGrace / 2);
         }
     }
 
--- a/Tests/Slopes/Slopes.cpp
+++ b/Tests/Slopes/Slopes.cpp
@@ -263,22 +263,22 @@
 
 /// Returns crash records of \a runs crashed incarnations, each with different suspects, and a few
 /// quarantine decisions.
-Policy::CrashBook crashRecordsOf(std::size_t runs)
+Policy::CrashRecords crashRecordsOf(std::size_t runs)
 {
-    Policy::CrashBook crashRecords;
+    Policy::CrashRecords crashRecords;
     const Model::SteadyTime now{std::chrono::hours(1)};
     for (std::uint64_t i = 0; i < runs; ++i) {
-        std::vector<Policy::RequestPrint> fingerprints;
-        for (std::uint32_t j = 1; j <= Policy::mostSuspects; ++j)
+        std::vector<Policy::RequestFingerprint> fingerprints;
+        for (std::uint32_t j = 1; j <= Policy::maxSuspectsPerCrash; ++j)
             fingerprints.push_back({Policy::ownerScore(i, j), j});
-        Policy::noteEnded(crashRecords, Policy::RunKey(i), fingerprints, now);
+        Policy::noteEnded(crashRecords, Policy::TargetIncarnationKey(i), fingerprints, now);
     }
     return crashRecords;
 }
 
 void crashRuns(benchmark::internal::Benchmark *benchmark)
 {
-    benchmark->ArgName("runs")->Arg(1)->Arg(16)->Arg(Policy::mostRuns);
+    benchmark->ArgName("runs")->Arg(1)->Arg(16)->Arg(Policy::maxCrashedIncarnations);
 }
 
 /// The cost of checking a request that is no suspect while crashes are on record.
@@ -288,7 +288,7 @@
     const auto view = Policy::viewOf(crashRecordsOf(static_cast<std::size_t>(state.range(0))), now);
     const Policy::RequestText text{"GET", "host.example", "/gauging/tank/7?unit=m3", "", "pilot-1"};
     for (auto _ : state)
-        benchmark::DoNotOptimize(view.mayHold(Policy::headOf(text)));
+        benchmark::DoNotOptimize(view.mayHold(Policy::fingerprintPrefixOf(text)));
 }
 BENCHMARK(checkRequest)->Apply(crashRuns);
 
@@ -298,7 +298,7 @@
     const std::string body(static_cast<std::size_t>(state.range(0)), 'x');
     const Policy::RequestText text{"POST", "host.example", "/transfers/order", body, "customs-1"};
     for (auto _ : state)
-        benchmark::DoNotOptimize(Policy::printOf(text));
+        benchmark::DoNotOptimize(Policy::fingerprintOf(text));
 }
 BENCHMARK(printRequest)->ArgName("body_bytes")->Arg(0)->Arg(1024)->Arg(1024 * 1024);
 
@@ -322,7 +322,7 @@
     std::size_t bytes = 0;
     for (auto _ : state) {
         const auto message
-            = Peers::toMessage(Policy::newsOf(crashRecords, now)).SerializeAsString();
+            = Peers::toMessage(Policy::crashUpdateFrom(crashRecords, now)).SerializeAsString();
         bytes = message.size();
         benchmark::DoNotOptimize(message);
     }
--- a/Utilities/Tablectl/Quarantines.cpp
+++ b/Utilities/Tablectl/Quarantines.cpp
@@ -81,7 +81,7 @@
 {
     const auto addresses = addressesIn(options.adminAddresses_);
     const auto fingerprint
-        = Policy::printFromText(options.arguments_.size() > 1 ? options.arguments_[1] : "");
+        = Policy::fingerprintFromText(options.arguments_.size() > 1 ? options.arguments_[1] : "");
     if (!addresses || !fingerprint)
         return fail();
     for (const auto &address : *addresses) {
