--- a/Libraries/LibSteering/CrashGuard.cpp
+++ b/Libraries/LibSteering/CrashGuard.cpp
@@ -48,7 +48,7 @@
         break;
     case RequestStanding::Pending:
     case RequestStanding::Quarantined:
-        refusal.comeBack_
+        refusal.retryAfter_
             = std::chrono::duration_cast<Milliseconds>(found.until_ - now) + Milliseconds(1);
         break;
     }
@@ -233,7 +233,7 @@
         judge(now);
 }
 
-void CrashGuard::takeRecords(const std::map<std::string, std::string> &records, SteadyTime now,
+void CrashGuard::mergeQuarantineRecords(const std::map<std::string, std::string> &records, SteadyTime now,
                              Model::WallTime wallNow)
 {
     for (const auto &[key, text] : records) {
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -92,12 +92,12 @@
 } // namespace
 
 Dispatcher::Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-                       const Knowledge &knowledge, Placer &placementEngine, CrashGuard &guard,
+                       const Knowledge &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
                        Observe::DecisionLog &log)
     : context_(context)
     , port_(port)
     , knowledge_(knowledge)
-    , placer_(placementEngine)
+    , placementEngine_(placementEngine)
     , guard_(guard)
     , log_(log)
     , pool_(context)
@@ -143,7 +143,7 @@
     const std::string_view spread = request.hasObject_ ? key : std::string_view(request.id_);
     request.object_
         = Policy::ownerScore(Policy::seedOf(spread), Policy::seedOf(request.route_->id_.value()));
-    request.service_ = placer_.chooseService(*request.route_);
+    request.service_ = placementEngine_.chooseService(*request.route_);
     Policy::RetryTerms terms;
     terms.share_ = port_.terms_.retryShare_ * usedRetryFraction;
     terms.maxCredit_ = port_.terms_.retryExtra_ * usedRetryFraction / static_cast<double>(instances_);
@@ -159,7 +159,7 @@
     while (true) {
         if (const auto withheld = guard_.check(request, steadyNow()))
             co_return unresolved ? failRequest(request, *unresolved) : refuse(request, *withheld);
-        const auto placed = placer_.place(request, steadyNow());
+        const auto placed = placementEngine_.place(request, steadyNow());
         if (const auto *refusal = std::get_if<Refusal>(&placed))
             co_return unresolved ? failRequest(request, *unresolved) : refuse(request, *refusal);
         const Placement placement = std::get<Placement>(placed);
@@ -191,7 +191,7 @@
     Http::ExchangeOptions options;
     options.address_ = target.record_.address_;
     options.deadline_ = request.deadline_ + deadlineSlack;
-    options.connectTimeout_ = placer_.connectTimeoutFor(target);
+    options.connectTimeout_ = placementEngine_.connectTimeoutFor(target);
     options.longestIdle_ = request.route_->isIdempotent_ ? maxIdleTime : maxIdleTimeNonIdempotent;
     if (request.attempts_ > 0)
         options.longestIdle_ = Milliseconds(0);
@@ -221,7 +221,7 @@
     target.sentRequests_.erase(sent);
     const auto now = steadyNow();
     if (result.connectTook_.count() > 0) {
-        placer_.noteConnect(target, result.connectTook_);
+        placementEngine_.noteConnect(target, result.connectTook_);
         // The pool had no idle connection. If connecting is slow, open one more than is in use.
         if (result.connectTook_ >= slowConnectThreshold && !target.isConnecting_) {
             options.control_ = nullptr;
@@ -238,7 +238,7 @@
     const auto took = std::chrono::duration_cast<Microseconds>(now - sentAt) - result.connectTook_;
     Attempt attempted = judge(request, placement, sentAt, std::move(result));
     if (attempted.answer_)
-        placer_.noteAnswer(request, placement, took, now);
+        placementEngine_.noteAnswer(request, placement, took, now);
     co_return attempted;
 }
 
@@ -250,13 +250,13 @@
     target->isConnecting_ = false;
 }
 
-void Dispatcher::refreshSpares(const TargetBook &registry)
+void Dispatcher::refreshIdleConnections(const TargetRegistry &registry)
 {
     const auto now = steadyNow();
     for (const auto &[id, target] : registry.all()) {
         if (!target->takesWork() || target->isConnecting_)
             continue;
-        if (placer_.roundTripTo(*target) < slowConnectThreshold
+        if (placementEngine_.roundTripTo(*target) < slowConnectThreshold
             || !Policy::isIdleConnectionWorthwhile(target->use_, maxIdleTimeNonIdempotent, now))
             continue;
         const auto &address = target->record_.address_;
@@ -264,7 +264,7 @@
             continue;
         Http::ExchangeOptions options;
         options.address_ = address;
-        options.connectTimeout_ = placer_.connectTimeoutFor(*target);
+        options.connectTimeout_ = placementEngine_.connectTimeoutFor(*target);
         options.deadline_ = now + options.connectTimeout_;
         options.connectionLimit_ = maxConnectionsPerTarget;
         Http::asio::co_spawn(context_, openIdleConnection(target, options), Http::asio::detached);
@@ -312,7 +312,7 @@
 {
     Http::ExchangeOptions options;
     options.address_ = target->record_.address_;
-    options.connectTimeout_ = placer_.connectTimeoutFor(*target);
+    options.connectTimeout_ = placementEngine_.connectTimeoutFor(*target);
     options.deadline_ = steadyNow() + options.connectTimeout_;
     options.connectionLimit_ = maxConnectionsPerTarget;
     const auto listening = co_await Http::knock(pool_, options);
@@ -339,7 +339,7 @@
         pool_.dropIdle(address);
 }
 
-void Dispatcher::dropAllIdleConnections(const TargetBook &registry)
+void Dispatcher::dropAllIdleConnections(const TargetRegistry &registry)
 {
     for (const auto &[id, target] : registry.all())
         pool_.dropIdle(target->record_.address_);
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -34,7 +34,7 @@
 {
 public:
     Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-               const Knowledge &knowledge, Placer &placementEngine, CrashGuard &guard,
+               const Knowledge &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
                Observe::DecisionLog &log);
 
     /// Answers one caller's request.
@@ -50,11 +50,11 @@
     void setInstances(std::size_t instances) { instances_ = std::max<std::size_t>(1, instances); }
 
     /// Sets the function that returns when the targets' rows were last confirmed.
-    void setTargetsNews(std::function<TargetsNews()> news) { targetsFreshness_ = std::move(news); }
+    void setTargetsFreshness(std::function<TargetsFreshness()> news) { targetsFreshness_ = std::move(news); }
 
     /// Opens a new connection to each remote target that is in use and whose idle connections are
     /// about to expire. Policy::isIdleConnectionWorthwhile() gives the reason.
-    void refreshSpares(const TargetBook &registry);
+    void refreshIdleConnections(const TargetRegistry &registry);
     /// Closes idle connections to \a addresses, at which other incarnations of targets now listen.
     ///
     /// Without it, a non-idempotent request is sent on a connection to an incarnation that has
@@ -62,7 +62,7 @@
     void dropIdleConnections(const std::vector<Model::Address> &addresses);
     /// Closes idle connections to every target: after a pause of this process the targets may have
     /// closed them.
-    void dropAllIdleConnections(const TargetBook &registry);
+    void dropAllIdleConnections(const TargetRegistry &registry);
 
     std::size_t inProgress() const { return requestsInProgress_.size(); }
     const DispatchCounters &counters() const { return counters_; }
@@ -104,15 +104,15 @@
     Http::asio::io_context &context_;
     const PlatformPort &port_;
     const Knowledge &knowledge_;
-    Placer &placer_;
+    PlacementEngine &placementEngine_;
     CrashGuard &guard_;
     Observe::DecisionLog &log_;
     Http::ConnectionPool pool_;
     std::list<RequestContext *> requestsInProgress_;
     std::unordered_map<Model::ServiceId, Policy::RetryBudget> retryBudgets_;
     std::size_t instances_ = 1;
-    std::function<TargetsNews()> targetsFreshness_ = [] {
-        return TargetsNews();
+    std::function<TargetsFreshness()> targetsFreshness_ = [] {
+        return TargetsFreshness();
     };
     DispatchCounters counters_;
 };
--- a/Libraries/LibSteering/DispatcherAnswers.cpp
+++ b/Libraries/LibSteering/DispatcherAnswers.cpp
@@ -46,12 +46,12 @@
         .add("attempts", static_cast<std::int64_t>(request.attempts_))
         .add("target", request.tried_.empty() ? "" : request.tried_.back().value())
         .add("target_status", static_cast<std::int64_t>(request.rejectionStatus_))
-        .add("come_back_ms", static_cast<std::int64_t>(refusal.comeBack_.count()))
+        .add("come_back_ms", static_cast<std::int64_t>(refusal.retryAfter_.count()))
         .add("version",
              request.table_ ? static_cast<std::int64_t>(request.table_->version().value()) : 0);
     auto response = Http::refusal({refusal.code_, ""}, request.incoming_.message_.version());
-    if (refusal.comeBack_.count() > 0)
-        response.set(http::field::retry_after, secondsText(refusal.comeBack_));
+    if (refusal.retryAfter_.count() > 0)
+        response.set(http::field::retry_after, secondsText(refusal.retryAfter_));
     response.set(viewOf(port_.headers_.requestId_), request.id_);
     return response;
 }
--- a/Libraries/LibSteering/DispatcherOutcomes.cpp
+++ b/Libraries/LibSteering/DispatcherOutcomes.cpp
@@ -83,9 +83,9 @@
         }
         noteCrash(request, placement, result, now);
         if (!request.isAbandoned_ && (isSilent || !attempted.wasSent_)) {
-            placer_.noteNoAnswer(placement, sentAt, attempted.wasSent_, now);
+            placementEngine_.noteNoAnswer(placement, sentAt, attempted.wasSent_, now);
         } else if (!request.isAbandoned_) {
-            placer_.noteFailure(placement, now);
+            placementEngine_.noteFailure(placement, now);
         }
         if (!attempted.wasSent_) {
             log_.line(Event::TargetSuspect)
@@ -112,7 +112,7 @@
                 .add("target", target.record_.id_.value())
                 .add("by", "another target at its address");
         } else {
-            placer_.noteFailure(placement, now);
+            placementEngine_.noteFailure(placement, now);
         }
         return attempted;
     }
--- a/Libraries/LibSteering/Instance.cpp
+++ b/Libraries/LibSteering/Instance.cpp
@@ -89,10 +89,10 @@
     });
     parts_->peers_.setLoadExchange(
         [this] {
-            return parts_->book_.loadsToTell(steadyNow());
+            return parts_->targetRegistry_.loadsToSend(steadyNow());
         },
         [this](const auto &loads) {
-            parts_->book_.hearLoads(loads, steadyNow());
+            parts_->targetRegistry_.receiveLoads(loads, steadyNow());
         });
     parts_->peers_.setCrashExchange(
         [this] {
@@ -110,13 +110,13 @@
         });
     parts_->peers_.setRemovalExchange(
         [this] {
-            return parts_->book_.removalsToTell(steadyNow());
+            return parts_->targetRegistry_.removalsToSend(steadyNow());
         },
         [this](const RemovalAges &ages) {
-            parts_->book_.hearRemovals(ages, steadyNow());
+            parts_->targetRegistry_.receiveRemovals(ages, steadyNow());
         });
-    parts_->dispatcher_.setTargetsNews([this] {
-        return TargetsNews{parts_->follower_.confirmedAt(StoreTable::Targets),
+    parts_->dispatcher_.setTargetsFreshness([this] {
+        return TargetsFreshness{parts_->follower_.confirmedAt(StoreTable::Targets),
                            parts_->peers_.upToDateAt()};
     });
     parts_->follower_.start();
@@ -161,12 +161,12 @@
         detectSuspend();
         parts_->peers_.setStoreStanding(parts_->follower_.standing());
         parts_->peers_.fetchIfBehind();
-        parts_->book_.dropMissing(now, parts_->peers_.storeEvidence());
+        parts_->targetRegistry_.dropMissing(now, parts_->peers_.storeEvidence());
         parts_->dispatcher_.sweepAbandoned();
         parts_->guard_.judge(now);
         if (now - idleRefreshedAt_ >= idleRefreshInterval) {
             idleRefreshedAt_ = now;
-            parts_->dispatcher_.refreshSpares(parts_->book_);
+            parts_->dispatcher_.refreshIdleConnections(parts_->targetRegistry_);
         }
         updateEntryCounts();
         updateReadiness();
@@ -180,7 +180,7 @@
     if (gap - clockGap_ > suspendThreshold) {
         log_.line(Event::ClockGap).add("stood_still_ms", gap - clockGap_);
         parts_->peers_.markMembersUnconfirmed();
-        parts_->dispatcher_.dropAllIdleConnections(parts_->book_);
+        parts_->dispatcher_.dropAllIdleConnections(parts_->targetRegistry_);
         storePool_.dropIdle(store_.address_);
     }
     clockGap_ = gap;
@@ -199,7 +199,7 @@
     std::size_t all = 0;
     for (const std::size_t count : entries)
         all += count;
-    parts_->placer_.setEntries(std::move(entries));
+    parts_->placementEngine_.setEntries(std::move(entries));
     parts_->dispatcher_.setInstances(all);
 }
 
@@ -208,12 +208,12 @@
     auto &platformState = parts_->knowledge_;
     if (seenTableChanges_ != platformState.tableChanges()) {
         seenTableChanges_ = platformState.tableChanges();
-        parts_->placer_.tableChanged();
+        parts_->placementEngine_.tableChanged();
         parts_->entry_.setLimits(entryLimits(platformState.table()->callerLimits()));
     }
     parts_->peers_.setStoreStanding(parts_->follower_.standing());
-    parts_->book_.update(steadyNow(), parts_->peers_.storeEvidence());
-    parts_->dispatcher_.dropIdleConnections(parts_->book_.takeRestarted());
+    parts_->targetRegistry_.update(steadyNow(), parts_->peers_.storeEvidence());
+    parts_->dispatcher_.dropIdleConnections(parts_->targetRegistry_.takeRestarted());
     updateEntryCounts();
     updateReadiness();
     parts_->peers_.announce();
--- a/Libraries/LibSteering/InstanceMetrics.cpp
+++ b/Libraries/LibSteering/InstanceMetrics.cpp
@@ -55,7 +55,7 @@
     text.add("cassiacrank_in_progress", "Requests in progress.", "gauge",
              static_cast<double>(parts_->dispatcher_.inProgress()));
     text.add("cassiacrank_targets", "Targets known.", "gauge",
-             static_cast<double>(parts_->book_.all().size()));
+             static_cast<double>(parts_->targetRegistry_.all().size()));
     const auto now = std::chrono::steady_clock::now();
     std::size_t alive = 0;
     for (const auto &[id, member] : parts_->peers_.members())
--- a/Libraries/LibSteering/InstanceParts.cpp
+++ b/Libraries/LibSteering/InstanceParts.cpp
@@ -27,10 +27,10 @@
 
 Instance::Parts::Parts(Instance &instance)
     : knowledge_(instance.port_, instance.settings_, instance.log_)
-    , book_(instance.port_, knowledge_, instance.log_)
-    , placer_(instance.settings_, knowledge_, book_)
+    , targetRegistry_(instance.port_, knowledge_, instance.log_)
+    , placementEngine_(instance.settings_, knowledge_, targetRegistry_)
     , guard_(instance.port_, instance.log_)
-    , dispatcher_(instance.context_, instance.port_, knowledge_, placer_, guard_, instance.log_)
+    , dispatcher_(instance.context_, instance.port_, knowledge_, placementEngine_, guard_, instance.log_)
     , peers_(instance.context_, instance.settings_, knowledge_, instance.log_)
     , follower_(
           instance.context_, instance.port_, knowledge_, instance.log_,
--- a/Libraries/LibSteering/InstanceParts.h
+++ b/Libraries/LibSteering/InstanceParts.h
@@ -13,8 +13,8 @@
     explicit Parts(Instance &instance);
 
     Knowledge knowledge_;
-    TargetBook book_;
-    Placer placer_;
+    TargetRegistry targetRegistry_;
+    PlacementEngine placementEngine_;
     CrashGuard guard_;
     Dispatcher dispatcher_;
     PeerExchange peers_;
--- a/Libraries/LibSteering/InstanceRecords.cpp
+++ b/Libraries/LibSteering/InstanceRecords.cpp
@@ -97,7 +97,7 @@
     while (!parts_->guard_.isInformed()) {
         const auto records = co_await port_.readQuarantines_();
         if (records) {
-            parts_->guard_.takeRecords(*records, steadyNow(), wallNow());
+            parts_->guard_.mergeQuarantineRecords(*records, steadyNow(), wallNow());
             break;
         }
         log_.line(Event::QuarantinesUnread).add("reason", toText(Model::lastReason()));
@@ -119,7 +119,7 @@
         if (isWritten)
             continue;
         log_.line(Event::QuarantinesUnread).add("reason", toText(Model::lastReason()));
-        parts_->guard_.writeAgain(record.fingerprint_);
+        parts_->guard_.requeueWrite(record.fingerprint_);
     }
 }
 
--- a/Libraries/LibSteering/PlacementEngine.cpp
+++ b/Libraries/LibSteering/PlacementEngine.cpp
@@ -24,21 +24,21 @@
 
 } // namespace
 
-Placer::Placer(const Observe::Settings &settings, const Knowledge &knowledge, TargetBook &registry)
+PlacementEngine::PlacementEngine(const Observe::Settings &settings, const Knowledge &knowledge, TargetRegistry &registry)
     : settings_(settings)
     , knowledge_(knowledge)
     , registry_(registry)
 {
 }
 
-void Placer::tableChanged()
+void PlacementEngine::tableChanged()
 {
     const auto &table = knowledge_.table();
     if (!table)
         return;
     for (std::size_t i = 0; i < table->domains().size(); ++i) {
         if (table->domains()[i].id_ == settings_.domain_)
-            ownDomain_ = i;
+            localDomain_ = i;
     }
     const auto &regions = table->regions();
     const bool isFirst = roundTrips_.size() != regions.size();
@@ -46,13 +46,13 @@
     for (std::size_t i = 0; i < regions.size(); ++i) {
         if (regions[i].id_ != settings_.region_)
             continue;
-        ownRegion_ = i;
+        localRegion_ = i;
         if (isFirst)
             roundTrips_[i] = initialRoundTripInRegion;
     }
 }
 
-Model::ServiceId Placer::chooseService(const Model::Route &route)
+Model::ServiceId PlacementEngine::chooseService(const Model::Route &route)
 {
     RouteState &state = routes_[route.id_];
     if (state.weightedSplit_.owed_.size() != route.parts_.size())
@@ -60,7 +60,7 @@
     return route.parts_[Policy::nextWeightedSplit(state.weightedSplit_, route.parts_)].service_;
 }
 
-Placer::RouteWork &Placer::workOf(const Model::Route &route, const Model::ServiceId &service)
+PlacementEngine::RouteWork &PlacementEngine::workOf(const Model::Route &route, const Model::ServiceId &service)
 {
     auto &work = routes_[route.id_].work_;
     const auto known = work.find(service);
@@ -70,7 +70,7 @@
         .first->second;
 }
 
-bool Placer::isAllowed(const Model::Route &route, std::size_t domain) const
+bool PlacementEngine::isAllowed(const Model::Route &route, std::size_t domain) const
 {
     if (route.allowedRegions_.empty())
         return true;
@@ -79,12 +79,12 @@
            != route.allowedRegions_.end();
 }
 
-Placer::ObjectView Placer::viewOf(const RequestContext &request,
+PlacementEngine::ObjectView PlacementEngine::viewOf(const RequestContext &request,
                                   const ServiceTargets &targets) const
 {
     ObjectView view;
     view.draws_ = Policy::domainDraws(request.object_, registry_.domainSeeds());
-    std::vector<double> shares = targets.homes_[ownDomain_];
+    std::vector<double> shares = targets.homes_[localDomain_];
     for (std::size_t i = 0; i < shares.size(); ++i) {
         if (!isAllowed(*request.route_, i))
             shares[i] = 0;
@@ -93,7 +93,7 @@
     return view;
 }
 
-std::size_t Placer::entriesSharing(const TargetState &target) const
+std::size_t PlacementEngine::entriesSharing(const TargetState &target) const
 {
     if (target.region_ < entries_.size() && entries_[target.region_] > 0)
         return entries_[target.region_];
@@ -103,7 +103,7 @@
     return std::max<std::size_t>(1, all);
 }
 
-bool Placer::mayTake(const RequestContext &request, const TargetState &target, SteadyTime now) const
+bool PlacementEngine::mayTake(const RequestContext &request, const TargetState &target, SteadyTime now) const
 {
     if (!target.takesWork() || !Policy::mayTry(target.reachability_, now))
         return false;
@@ -113,7 +113,7 @@
     if (!target.isCold(now))
         return true;
     // A cold target's rate limit is divided among the entries of its region only.
-    const bool isOthers = target.region_ != ownRegion_ && target.region_ < entries_.size()
+    const bool isOthers = target.region_ != localRegion_ && target.region_ < entries_.size()
                           && entries_[target.region_] > 0;
     const auto *service = request.table_->service(request.service_);
     return !isOthers && service
@@ -121,13 +121,13 @@
                                   now);
 }
 
-Microseconds Placer::meanTimeOf(const Model::ServiceId &service) const
+Microseconds PlacementEngine::meanTimeOf(const Model::ServiceId &service) const
 {
     const auto mean = serviceMeanUs_.find(service);
     return Microseconds(mean == serviceMeanUs_.end() ? 0 : static_cast<long long>(mean->second));
 }
 
-double Placer::slotUseOf(const Model::ServiceId &service, const ServiceTargets &targets,
+double PlacementEngine::slotUseOf(const Model::ServiceId &service, const ServiceTargets &targets,
                          SteadyTime now)
 {
     SlotUse &use = use_[service];
@@ -149,7 +149,7 @@
     return use.use_;
 }
 
-bool Placer::isKnownWarm(const RequestContext &request, const TargetState &target,
+bool PlacementEngine::isKnownWarm(const RequestContext &request, const TargetState &target,
                          SteadyTime now) const
 {
     if (!request.hasObject_)
@@ -161,7 +161,7 @@
     return memory == memory_.end() || now - sent->second < memory->second.kept_;
 }
 
-Policy::Candidate Placer::candidateFor(const RequestContext &request, const TargetState &target,
+Policy::Candidate PlacementEngine::candidateFor(const RequestContext &request, const TargetState &target,
                                        SteadyTime now) const
 {
     const auto workTime = meanTimeOf(request.service_);
@@ -185,7 +185,7 @@
     return candidate;
 }
 
-Placer::Owners Placer::ownersAmong(const RequestContext &request,
+PlacementEngine::Owners PlacementEngine::ownersAmong(const RequestContext &request,
                                    const std::vector<std::shared_ptr<TargetState>> &targets,
                                    SteadyTime now) const
 {
@@ -209,7 +209,7 @@
     return owners;
 }
 
-void Placer::addOwners(const RequestContext &request,
+void PlacementEngine::addOwners(const RequestContext &request,
                        const std::vector<std::shared_ptr<TargetState>> &targets, bool isHome,
                        bool isHomeOfOthers, SteadyTime now)
 {
@@ -236,7 +236,7 @@
         add(*owners.second_, false);
 }
 
-void Placer::gatherCandidates(const RequestContext &request, const ServiceTargets &targets,
+void PlacementEngine::gatherCandidates(const RequestContext &request, const ServiceTargets &targets,
                               SteadyTime now)
 {
     candidates_.clear();
@@ -253,7 +253,7 @@
     limitSpillOver(request, view.home_, now);
 }
 
-void Placer::limitSpillOver(const RequestContext &request, std::size_t home, SteadyTime now)
+void PlacementEngine::limitSpillOver(const RequestContext &request, std::size_t home, SteadyTime now)
 {
     const auto &domains = request.table_->domains();
     if (home >= domains.size())
@@ -281,7 +281,7 @@
     candidateTargets_.resize(kept);
 }
 
-std::variant<Placement, Refusal> Placer::place(const RequestContext &request, SteadyTime now)
+std::variant<Placement, Refusal> PlacementEngine::place(const RequestContext &request, SteadyTime now)
 {
     if (!knowledge_.mirror(StoreTable::Targets).isKnown())
         return Refusal{ResultCode::NotReady, retryDelayWhenNotReady, Microseconds(0)};
--- a/Libraries/LibSteering/PlacementEngine.h
+++ b/Libraries/LibSteering/PlacementEngine.h
@@ -11,10 +11,10 @@
 /// Chooses a target for each request from the instance's state.
 ///
 /// Thread safety: none; belongs to one thread.
-class Placer
+class PlacementEngine
 {
 public:
-    Placer(const Observe::Settings &settings, const Knowledge &knowledge, TargetBook &registry);
+    PlacementEngine(const Observe::Settings &settings, const Knowledge &knowledge, TargetRegistry &registry);
 
     /// Sets, for each of the table's regions, how many entries run there.
     void setEntries(std::vector<std::size_t> entries) { entries_ = std::move(entries); }
@@ -114,10 +114,10 @@
 
     const Observe::Settings &settings_;
     const Knowledge &knowledge_;
-    TargetBook &registry_;
+    TargetRegistry &registry_;
     std::vector<std::size_t> entries_;
-    std::size_t ownDomain_ = 0;
-    std::size_t ownRegion_ = 0;
+    std::size_t localDomain_ = 0;
+    std::size_t localRegion_ = 0;
     std::unordered_map<Model::RouteId, RouteState> routes_;
     /// Mean processing time of all requests of a service at its targets.
     std::unordered_map<Model::ServiceId, double> serviceMeanUs_;
--- a/Libraries/LibSteering/PlacementLearning.cpp
+++ b/Libraries/LibSteering/PlacementLearning.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void Placer::noteAnswer(const RequestContext &request, const Placement &placement,
+void PlacementEngine::noteAnswer(const RequestContext &request, const Placement &placement,
                         Microseconds took, SteadyTime now)
 {
     TargetState &target = *placement.target_;
@@ -62,12 +62,12 @@
         mean->second += (value - mean->second) * serviceMeanWeight;
 }
 
-void Placer::noteFailure(const Placement &placement, SteadyTime now)
+void PlacementEngine::noteFailure(const Placement &placement, SteadyTime now)
 {
     Policy::learnFailure(placement.target_->pace_, now);
 }
 
-void Placer::noteNoAnswer(const Placement &placement, SteadyTime sentAt, bool wasSent,
+void PlacementEngine::noteNoAnswer(const Placement &placement, SteadyTime sentAt, bool wasSent,
                           SteadyTime now)
 {
     TargetState &target = *placement.target_;
@@ -78,12 +78,12 @@
         Policy::noteUnreachable(target.reachability_, now);
 }
 
-Milliseconds Placer::connectTimeoutFor(const TargetState &target) const
+Milliseconds PlacementEngine::connectTimeoutFor(const TargetState &target) const
 {
     return Policy::connectionTimeout(roundTrips_[target.region_]);
 }
 
-void Placer::noteConnect(const TargetState &target, Microseconds took)
+void PlacementEngine::noteConnect(const TargetState &target, Microseconds took)
 {
     auto &known = roundTrips_[target.region_];
     const double value = static_cast<double>(known.count())
--- a/Libraries/LibSteering/RequestContext.h
+++ b/Libraries/LibSteering/RequestContext.h
@@ -64,7 +64,7 @@
 struct Refusal
 {
     Model::ResultCode code_ = Model::ResultCode::OverCapacity;
-    Model::Milliseconds comeBack_{0};
+    Model::Milliseconds retryAfter_{0};
     Model::Microseconds expected_{0};
 };
 
--- a/Libraries/LibSteering/TargetRegistry.cpp
+++ b/Libraries/LibSteering/TargetRegistry.cpp
@@ -7,7 +7,7 @@
 using Model::SteadyTime;
 using Observe::Event;
 
-TargetBook::TargetBook(const PlatformPort &port, const Knowledge &knowledge,
+TargetRegistry::TargetRegistry(const PlatformPort &port, const Knowledge &knowledge,
                        Observe::DecisionLog &log)
     : port_(port)
     , knowledge_(knowledge)
@@ -15,7 +15,7 @@
 {
 }
 
-void TargetBook::update(SteadyTime now, const Policy::StoreEvidence &evidence)
+void TargetRegistry::update(SteadyTime now, const Policy::StoreEvidence &evidence)
 {
     for (const auto &[key, row] : knowledge_.mirror(StoreTable::Targets).rows())
         applyRow(row, now);
@@ -57,7 +57,7 @@
 
 } // namespace
 
-void TargetBook::noteUnreadable(const Platform::StoredRow &row)
+void TargetRegistry::noteUnreadable(const Platform::StoredRow &row)
 {
     const auto known = targets_.find(Model::TargetId(row.key_));
     if (known != targets_.end())
@@ -70,7 +70,7 @@
         .add("revision", static_cast<std::int64_t>(row.revision_.value()));
 }
 
-std::shared_ptr<TargetState> TargetBook::stateFor(const Model::TargetRecord &record)
+std::shared_ptr<TargetState> TargetRegistry::stateFor(const Model::TargetRecord &record)
 {
     auto &target = targets_[record.id_];
     const bool isRestarted = target && isLaterIncarnation(record, target->record_);
@@ -89,7 +89,7 @@
     return target;
 }
 
-void TargetBook::applyRow(const Platform::StoredRow &row, SteadyTime now)
+void TargetRegistry::applyRow(const Platform::StoredRow &row, SteadyTime now)
 {
     const Model::TargetId id(row.key_);
     const auto known = targets_.find(id);
@@ -149,7 +149,7 @@
 /// registrations last for seconds more, and each instance learns only from a rejected request of
 /// its own that no target of that id listens there. The rejections exhaust the retry budget, and
 /// callers are refused while slots are free.
-void TargetBook::findSuccessors()
+void TargetRegistry::findSuccessors()
 {
     std::map<Model::Address, std::shared_ptr<const TargetState>> latest;
     for (const auto &[id, target] : targets_) {
@@ -175,7 +175,7 @@
     }
 }
 
-void TargetBook::resolveDomain(TargetState &target) const
+void TargetRegistry::resolveDomain(TargetState &target) const
 {
     target.hasKnownDomain_ = false;
     const auto &table = knowledge_.table();
@@ -204,7 +204,7 @@
 
 } // namespace
 
-void TargetBook::rebuildServices()
+void TargetRegistry::rebuildServices()
 {
     services_.clear();
     byShortName_.clear();
@@ -229,7 +229,7 @@
         service.homes_ = homesOf(service);
 }
 
-Policy::HomeShares TargetBook::homesOf(const ServiceTargets &targets) const
+Policy::HomeShares TargetRegistry::homesOf(const ServiceTargets &targets) const
 {
     const auto &table = *knowledge_.table();
     std::vector<Policy::DomainCapacity> capacities;
@@ -247,7 +247,7 @@
     return Policy::homeShares(capacities);
 }
 
-std::vector<Policy::TargetLoad> TargetBook::loadsToTell(SteadyTime now) const
+std::vector<Policy::TargetLoad> TargetRegistry::loadsToSend(SteadyTime now) const
 {
     std::vector<Policy::TargetLoad> loads;
     for (const auto &[name, target] : byShortName_) {
@@ -261,7 +261,7 @@
     return loads;
 }
 
-void TargetBook::hearLoads(const std::vector<Policy::TargetLoad> &loads, SteadyTime now)
+void TargetRegistry::receiveLoads(const std::vector<Policy::TargetLoad> &loads, SteadyTime now)
 {
     for (const auto &load : loads) {
         const auto target = byShortName_.find(load.target_);
@@ -273,7 +273,7 @@
     }
 }
 
-const ServiceTargets *TargetBook::service(const Model::ServiceId &service) const
+const ServiceTargets *TargetRegistry::service(const Model::ServiceId &service) const
 {
     const auto found = services_.find(service);
     return found == services_.end() ? nullptr : &found->second;
--- a/Libraries/LibSteering/TargetRegistry.h
+++ b/Libraries/LibSteering/TargetRegistry.h
@@ -22,7 +22,7 @@
 };
 
 /// When the targets' rows were last confirmed to this instance.
-struct TargetsNews
+struct TargetsFreshness
 {
     /// The store answered a call for them.
     Model::SteadyTime storeConfirmedAt_ = Model::longAgo;
@@ -37,7 +37,7 @@
     std::string request_;
     Model::SteadyTime at_ = Model::longAgo;
     Platform::Revision knownRevision_;
-    TargetsNews freshness_;
+    TargetsFreshness freshness_;
 };
 
 /// One incarnation of a target, with the local observations of it.
@@ -115,10 +115,10 @@
 /// All known targets, with the local observations of them.
 ///
 /// Thread safety: none; belongs to one thread.
-class TargetBook
+class TargetRegistry
 {
 public:
-    TargetBook(const PlatformPort &port, const Knowledge &knowledge, Observe::DecisionLog &log);
+    TargetRegistry(const PlatformPort &port, const Knowledge &knowledge, Observe::DecisionLog &log);
 
     /// Updates the registry from the platform state.
     void update(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
@@ -135,16 +135,16 @@
     const ServiceTargets *service(const Model::ServiceId &service) const;
 
     /// Returns the target loads to send to other instances.
-    std::vector<Policy::TargetLoad> loadsToTell(Model::SteadyTime now) const;
+    std::vector<Policy::TargetLoad> loadsToSend(Model::SteadyTime now) const;
     /// Records the loads that another instance sent; loads of unknown targets are ignored.
-    void hearLoads(const std::vector<Policy::TargetLoad> &loads, Model::SteadyTime now);
+    void receiveLoads(const std::vector<Policy::TargetLoad> &loads, Model::SteadyTime now);
 
     /// Returns how long ago registrations were found to be removed, locally or at a peer. Covers
     /// recent removals only.
-    RemovalAges removalsToTell(Model::SteadyTime now) const;
+    RemovalAges removalsToSend(Model::SteadyTime now) const;
     /// Records the removal ages that a peer sent. Precondition: the peer's target rows have not
     /// been applied yet.
-    void hearRemovals(const RemovalAges &ages, Model::SteadyTime now);
+    void receiveRemovals(const RemovalAges &ages, Model::SteadyTime now);
 
     const std::map<Model::TargetId, std::shared_ptr<TargetState>> &all() const { return targets_; }
     /// A seed for each of the table's domains, the same on every instance.
--- a/Libraries/LibSteering/TargetRemovals.cpp
+++ b/Libraries/LibSteering/TargetRemovals.cpp
@@ -37,7 +37,7 @@
 
 /// Logs which target rows were known when the last request was sent to a leaving target. Only this
 /// line shows whether the update came too late or was disregarded.
-void TargetBook::logLeave(const TargetState &target, const char *how, Platform::Revision revision,
+void TargetRegistry::logLeave(const TargetState &target, const char *how, Platform::Revision revision,
                           SteadyTime now)
 {
     const LastSend &last = target.lastSend_;
@@ -54,7 +54,7 @@
         .add("peers_said_ms_before", msSince(last.freshness_.peersConfirmedAt_, last.at_));
 }
 
-void TargetBook::noteMissing(SteadyTime now, const Policy::StoreEvidence &evidence)
+void TargetRegistry::noteMissing(SteadyTime now, const Policy::StoreEvidence &evidence)
 {
     const Mirror &mirror = knowledge_.mirror(StoreTable::Targets);
     const auto unannounced
@@ -93,7 +93,7 @@
     });
 }
 
-bool TargetBook::dropMissing(SteadyTime now, const Policy::StoreEvidence &evidence)
+bool TargetRegistry::dropMissing(SteadyTime now, const Policy::StoreEvidence &evidence)
 {
     const auto dropped = std::erase_if(targets_, [&](const auto &entry) {
         const auto &[id, target] = entry;
@@ -120,7 +120,7 @@
     return dropped > 0;
 }
 
-RemovalAges TargetBook::removalsToTell(SteadyTime now) const
+RemovalAges TargetRegistry::removalsToSend(SteadyTime now) const
 {
     RemovalAges ages;
     for (const auto &[id, noticedAt] : removals_) {
@@ -130,7 +130,7 @@
     return ages;
 }
 
-void TargetBook::hearRemovals(const RemovalAges &ages, SteadyTime now)
+void TargetRegistry::receiveRemovals(const RemovalAges &ages, SteadyTime now)
 {
     for (const auto &[id, age] : ages) {
         if (age > removalRetention)
@@ -140,7 +140,7 @@
     }
 }
 
-void TargetBook::forgetRemovals(SteadyTime now)
+void TargetRegistry::forgetRemovals(SteadyTime now)
 {
     std::erase_if(removals_, [&](const auto &entry) {
         const auto &[id, noticedAt] = entry;
--- a/Tests/LibSteering/FakePlatform.cpp
+++ b/Tests/LibSteering/FakePlatform.cpp
@@ -130,17 +130,17 @@
                revision);
 }
 
-Brain::Brain(const std::string &domain)
+InstanceFixture::InstanceFixture(const std::string &domain)
     : settings_(settings(domain))
     , port_(port())
     , log_(open("/dev/null", O_WRONLY | O_CLOEXEC))
     , knowledge_(port_, settings_, log_)
-    , book_(port_, knowledge_, log_)
-    , placer_(settings_, knowledge_, book_)
+    , targetRegistry_(port_, knowledge_, log_)
+    , placementEngine_(settings_, knowledge_, targetRegistry_)
 {
 }
 
-void Brain::tellOperators(int version, std::uint64_t revision,
+void InstanceFixture::setOperatorRows(int version, std::uint64_t revision,
                           const std::vector<std::string> &drained)
 {
     std::vector<Platform::StoredRow> list = {row("table", operatorsText(version), revision)};
@@ -150,7 +150,7 @@
     update();
 }
 
-void Brain::tellTargets(std::uint64_t revision, std::vector<Platform::StoredRow> list)
+void InstanceFixture::setTargetRows(std::uint64_t revision, std::vector<Platform::StoredRow> list)
 {
     knowledge_.replace(Steering::StoreTable::Targets, rows(revision, std::move(list)), "test");
     if (evidence_.own_.contact_ == Policy::StoreContact::Reached)
@@ -158,30 +158,30 @@
     update();
 }
 
-void Brain::regainStore()
+void InstanceFixture::reconnectStore()
 {
     evidence_.own_.contact_ = Policy::StoreContact::Reached;
     evidence_.own_.answeredSince_ = now_;
     evidence_.own_.recoveredAt_ = now_;
 }
 
-void Brain::update()
+void InstanceFixture::update()
 {
-    placer_.tableChanged();
-    book_.update(now_, evidence_);
+    placementEngine_.tableChanged();
+    targetRegistry_.update(now_, evidence_);
 }
 
-Steering::RequestContext requestContext(const Brain &brain, const std::string &route,
+Steering::RequestContext requestContext(const InstanceFixture &instance, const std::string &route,
                                         std::uint64_t object)
 {
     Steering::RequestContext requestContext;
-    requestContext.table_ = brain.knowledge_.table();
+    requestContext.table_ = instance.knowledge_.table();
     requestContext.route_ = requestContext.table_->routes().find("h", "/" + route + "/x");
     requestContext.service_ = requestContext.route_->parts_.front().service_;
     requestContext.object_ = object;
     requestContext.hasObject_ = true;
-    requestContext.arrivedAt_ = brain.now_;
-    requestContext.deadline_ = brain.now_ + requestContext.route_->timeout_;
+    requestContext.arrivedAt_ = instance.now_;
+    requestContext.deadline_ = instance.now_ + requestContext.route_->timeout_;
     return requestContext;
 }
 
--- a/Tests/LibSteering/FakePlatform.h
+++ b/Tests/LibSteering/FakePlatform.h
@@ -33,34 +33,34 @@
                            const std::string &state = "ready", int coldMs = 0, int slots = 4);
 
 /// The state and the decision logic of an instance, without its network.
-struct Brain
+struct InstanceFixture
 {
-    explicit Brain(const std::string &domain);
+    explicit InstanceFixture(const std::string &domain);
 
-    void tellOperators(int version, std::uint64_t revision,
+    void setOperatorRows(int version, std::uint64_t revision,
                        const std::vector<std::string> &drained = {});
-    void tellTargets(std::uint64_t revision, std::vector<Platform::StoredRow> list);
+    void setTargetRows(std::uint64_t revision, std::vector<Platform::StoredRow> list);
     void update();
 
     /// Makes the store refuse this instance.
-    void loseStore() { evidence_.own_.contact_ = Policy::StoreContact::Refused; }
+    void disconnectStore() { evidence_.own_.contact_ = Policy::StoreContact::Refused; }
     /// Makes the store answer again; the previous call failed immediately before.
-    void regainStore();
+    void reconnectStore();
     /// Drops targets whose registration is no longer expected to return.
-    bool dropMissing() { return book_.dropMissing(now_, evidence_); }
+    bool dropMissing() { return targetRegistry_.dropMissing(now_, evidence_); }
 
     Observe::Settings settings_;
     Steering::PlatformPort port_;
     Observe::DecisionLog log_;
     Steering::Knowledge knowledge_;
-    Steering::TargetBook book_;
-    Steering::Placer placer_;
+    Steering::TargetRegistry targetRegistry_;
+    Steering::PlacementEngine placementEngine_;
     Model::SteadyTime now_{std::chrono::seconds(1000)};
     Policy::StoreEvidence evidence_{{.contact_ = Policy::StoreContact::Reached}, {}};
 };
 
 /// Returns a request for \a object on a route ("read" or "order") that has just arrived.
-Steering::RequestContext requestContext(const Brain &brain, const std::string &route,
+Steering::RequestContext requestContext(const InstanceFixture &instance, const std::string &route,
                                         std::uint64_t object);
 
 } // namespace Fakes
--- a/Tests/LibSteering/LoadedTargets.cpp
+++ b/Tests/LibSteering/LoadedTargets.cpp
@@ -45,7 +45,7 @@
 class Simulation
 {
 public:
-    Simulation(std::vector<Brain *> entries, const std::vector<SimulatedRequest> &requests,
+    Simulation(std::vector<InstanceFixture *> entries, const std::vector<SimulatedRequest> &requests,
                const WorkModel &model)
         : entries_(std::move(entries))
         , requests_(requests)
@@ -53,7 +53,7 @@
         , results_(requests.size())
         , start_(entries_.front()->now_)
     {
-        for (const auto &[id, state] : entries_.front()->book_.all()) {
+        for (const auto &[id, state] : entries_.front()->targetRegistry_.all()) {
             FakeTarget &target = targets_[id.value()];
             target.slots_ = state->record_.slots_.value();
             target.region_ = state->record_.domain_.value().substr(0, 1);
@@ -99,13 +99,13 @@
     void arrive(std::size_t number)
     {
         const SimulatedRequest &request = requests_[number];
-        Brain &brain = *entries_[request.entry_];
-        brain.now_ = now_;
+        InstanceFixture &instance = *entries_[request.entry_];
+        instance.now_ = now_;
         Work work;
         work.request_ = number;
         work.entry_ = request.entry_;
-        work.requestContext_ = requestContext(brain, request.route_, request.object_);
-        const auto placed = brain.placer_.place(work.requestContext_, now_);
+        work.requestContext_ = requestContext(instance, request.route_, request.object_);
+        const auto placed = instance.placementEngine_.place(work.requestContext_, now_);
         const auto *placement = std::get_if<Placement>(&placed);
         if (!placement) {
             results_[number].isRefused_ = true;
@@ -172,17 +172,17 @@
         Policy::learnLoad(state.sharedLoad_, double(inFlight), state.record_.slots_, now_);
         const auto took = now_ - work.sentAt_;
         results_[work.request_].took_ = std::chrono::duration_cast<Milliseconds>(took);
-        entries_[work.entry_]->placer_.noteAnswer(
+        entries_[work.entry_]->placementEngine_.noteAnswer(
             work.requestContext_, work.placement_,
             std::chrono::duration_cast<Model::Microseconds>(took), now_);
     }
 
     void exchangeLoads()
     {
-        for (Brain *brain : entries_) {
-            Brain &other = *entries_[random_() % entries_.size()];
-            other.book_.hearLoads(brain->book_.loadsToTell(now_), now_);
-            brain->book_.hearLoads(other.book_.loadsToTell(now_), now_);
+        for (InstanceFixture *instance : entries_) {
+            InstanceFixture &other = *entries_[random_() % entries_.size()];
+            other.targetRegistry_.receiveLoads(instance->targetRegistry_.loadsToSend(now_), now_);
+            instance->targetRegistry_.receiveLoads(other.targetRegistry_.loadsToSend(now_), now_);
         }
     }
 
@@ -190,10 +190,10 @@
     {
         release(work);
         results_[work.request_].isLost_ = true;
-        entries_[work.entry_]->placer_.noteNoAnswer(work.placement_, work.sentAt_, true, now_);
+        entries_[work.entry_]->placementEngine_.noteNoAnswer(work.placement_, work.sentAt_, true, now_);
     }
 
-    std::vector<Brain *> entries_;
+    std::vector<InstanceFixture *> entries_;
     const std::vector<SimulatedRequest> &requests_;
     const WorkModel &model_;
     std::vector<SimulatedResult> results_;
@@ -206,7 +206,7 @@
 
 } // namespace
 
-std::vector<SimulatedResult> simulate(std::vector<Brain *> entries,
+std::vector<SimulatedResult> simulate(std::vector<InstanceFixture *> entries,
                                       const std::vector<SimulatedRequest> &requests,
                                       const WorkModel &model)
 {
--- a/Tests/LibSteering/TestDispatcher.cpp
+++ b/Tests/LibSteering/TestDispatcher.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-using Fakes::Brain;
+using Fakes::InstanceFixture;
 using Model::Milliseconds;
 namespace http = Http::http;
 
@@ -27,10 +27,10 @@
             addresses_[id] = freeAddress();
             CPPUNIT_ASSERT(servers_.back()->listen(addresses_[id]));
         }
-        brain_.port_.headers_.expectedTarget_ = "Expected";
+        instance_.port_.headers_.expectedTarget_ = "Expected";
         guard_.setInformed();
-        brain_.tellOperators(3, 1);
-        brain_.tellTargets(2, {row("a", 2), row("b", 2)});
+        instance_.setOperatorRows(3, 1);
+        instance_.setTargetRows(2, {row("a", 2), row("b", 2)});
     }
 
     static Model::Address freeAddress()
@@ -73,7 +73,7 @@
     /// Returns the target that was chosen for the request, or an empty string.
     std::string chosenTarget() const
     {
-        for (const auto &[id, target] : brain_.book_.all()) {
+        for (const auto &[id, target] : instance_.targetRegistry_.all()) {
             if (target->ownInFlight_ > 0)
                 return id.value();
         }
@@ -89,10 +89,10 @@
     }
 
     Http::asio::io_context context_;
-    Brain brain_{"r-a"};
-    Steering::CrashGuard guard_{brain_.port_, brain_.log_};
-    Steering::Dispatcher dispatcher_{context_,       brain_.port_, brain_.knowledge_,
-                                     brain_.placer_, guard_,       brain_.log_};
+    InstanceFixture instance_{"r-a"};
+    Steering::CrashGuard guard_{instance_.port_, instance_.log_};
+    Steering::Dispatcher dispatcher_{context_,       instance_.port_, instance_.knowledge_,
+                                     instance_.placementEngine_, guard_,       instance_.log_};
     std::vector<std::unique_ptr<Http::Server>> servers_;
     std::map<std::string, Model::Address> addresses_;
     std::vector<std::string> receivingTargets_;
@@ -125,7 +125,7 @@
         fixture.startRequest();
         const std::string left = fixture.chosenTarget();
         const std::string other = left == "a" ? "b" : "a";
-        fixture.brain_.tellTargets(3, {fixture.row(left, 3, "draining"), fixture.row(other, 2)});
+        fixture.instance_.setTargetRows(3, {fixture.row(left, 3, "draining"), fixture.row(other, 2)});
         assertSentElsewhere(fixture, left);
     }
 
@@ -136,8 +136,8 @@
         fixture.startRequest();
         const std::string left = fixture.chosenTarget();
         const std::string other = left == "a" ? "b" : "a";
-        fixture.brain_.tellTargets(3, {fixture.row(other, 2)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.brain_.book_.all().size());
+        fixture.instance_.setTargetRows(3, {fixture.row(other, 2)});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), fixture.instance_.targetRegistry_.all().size());
         assertSentElsewhere(fixture, left);
     }
 
@@ -147,7 +147,7 @@
     {
         DispatcherFixture fixture;
         fixture.startRequest();
-        fixture.brain_.tellOperators(4, 4, {"r-a"});
+        fixture.instance_.setOperatorRows(4, 4, {"r-a"});
         fixture.waitForAnswer();
         CPPUNIT_ASSERT(fixture.receivingTargets_.empty());
         CPPUNIT_ASSERT(fixture.answer_->result() == http::status::service_unavailable);
--- a/Tests/LibSteering/TestIdleConnections.cpp
+++ b/Tests/LibSteering/TestIdleConnections.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-using Fakes::Brain;
+using Fakes::InstanceFixture;
 
 class TestIdleConnections : public CppUnit::TestFixture
 {
@@ -18,14 +18,14 @@
     // trip to a region before any region is known.
     void targetsKnownBeforeTheTableAreSkipped()
     {
-        Brain brain("r-a");
+        InstanceFixture instance("r-a");
         Http::asio::io_context context;
-        Steering::CrashGuard guard(brain.port_, brain.log_);
-        Steering::Dispatcher dispatcher(context, brain.port_, brain.knowledge_, brain.placer_,
-                                        guard, brain.log_);
-        brain.tellTargets(2, {Fakes::target("a", "gauging", "s-a", 2)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), brain.book_.all().size());
-        dispatcher.refreshSpares(brain.book_);
+        Steering::CrashGuard guard(instance.port_, instance.log_);
+        Steering::Dispatcher dispatcher(context, instance.port_, instance.knowledge_, instance.placementEngine_,
+                                        guard, instance.log_);
+        instance.setTargetRows(2, {Fakes::target("a", "gauging", "s-a", 2)});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), instance.targetRegistry_.all().size());
+        dispatcher.refreshIdleConnections(instance.targetRegistry_);
         CPPUNIT_ASSERT_EQUAL(std::size_t(0), context.poll());
     }
 };
--- a/Tests/LibSteering/TestLoads.cpp
+++ b/Tests/LibSteering/TestLoads.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-using Fakes::Brain;
+using Fakes::InstanceFixture;
 using Fakes::SimulatedRequest;
 using Model::Milliseconds;
 
@@ -34,22 +34,22 @@
             }
         }
         for (const char *domain : {"r-a", "s-a", "t-a"}) {
-            entries_.push_back(std::make_unique<Brain>(domain));
-            entries_.back()->tellOperators(3, 1);
-            entries_.back()->tellTargets(2, list);
+            entries_.push_back(std::make_unique<InstanceFixture>(domain));
+            entries_.back()->setOperatorRows(3, 1);
+            entries_.back()->setTargetRows(2, list);
         }
     }
 
-    std::vector<Brain *> entries() const
+    std::vector<InstanceFixture *> entries() const
     {
-        std::vector<Brain *> result;
+        std::vector<InstanceFixture *> result;
         for (const auto &entry : entries_)
             result.push_back(entry.get());
         return result;
     }
 
 private:
-    std::vector<std::unique_ptr<Brain>> entries_;
+    std::vector<std::unique_ptr<InstanceFixture>> entries_;
 };
 
 /// Returns requests at random times for random objects, evenly spread over the regions, at \a
@@ -183,12 +183,12 @@
             list.push_back(
                 Fakes::target("t" + std::to_string(number++), "gauging", domain, 1, "ready", 0, 3));
         }
-        std::vector<std::unique_ptr<Brain>> entries;
-        std::vector<Brain *> instances;
+        std::vector<std::unique_ptr<InstanceFixture>> entries;
+        std::vector<InstanceFixture *> instances;
         for (const char *domain : {"r-a", "r-b", "s-a", "s-b", "t-a", "t-b"}) {
-            entries.push_back(std::make_unique<Brain>(domain));
-            entries.back()->tellOperators(3, 1);
-            entries.back()->tellTargets(2, list);
+            entries.push_back(std::make_unique<InstanceFixture>(domain));
+            entries.back()->setOperatorRows(3, 1);
+            entries.back()->setTargetRows(2, list);
             instances.push_back(entries.back().get());
         }
         const auto requests = burst();
@@ -230,12 +230,12 @@
             list.push_back(
                 Fakes::target("t" + std::to_string(i), "gauging", "r-a", 1, "ready", 0, 6));
         }
-        std::vector<std::unique_ptr<Brain>> entries;
-        std::vector<Brain *> instances;
+        std::vector<std::unique_ptr<InstanceFixture>> entries;
+        std::vector<InstanceFixture *> instances;
         for (std::size_t i = 0; i < fleet; ++i) {
-            entries.push_back(std::make_unique<Brain>(i % 2 == 0 ? "r-a" : "r-b"));
-            entries.back()->tellOperators(3, 1);
-            entries.back()->tellTargets(2, list);
+            entries.push_back(std::make_unique<InstanceFixture>(i % 2 == 0 ? "r-a" : "r-b"));
+            entries.back()->setOperatorRows(3, 1);
+            entries.back()->setTargetRows(2, list);
             instances.push_back(entries.back().get());
         }
         std::mt19937_64 random(29);
--- a/Tests/LibSteering/TestPlacementEngine.cpp
+++ b/Tests/LibSteering/TestPlacementEngine.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-using Fakes::Brain;
+using Fakes::InstanceFixture;
 using Model::Milliseconds;
 using Steering::Placement;
 using Steering::Refusal;
@@ -27,10 +27,10 @@
     return list;
 }
 
-std::string placedAt(Brain &brain, std::uint64_t object)
+std::string placedAt(InstanceFixture &instance, std::uint64_t object)
 {
     const auto placed
-        = brain.placer_.place(Fakes::requestContext(brain, "read", object), brain.now_);
+        = instance.placementEngine_.place(Fakes::requestContext(instance, "read", object), instance.now_);
     const auto *placement = std::get_if<Placement>(&placed);
     return placement ? placement->target_->record_.id_.value() : "refused";
 }
@@ -51,11 +51,11 @@
 public:
     void entriesOfADomainAgreeWithoutAMessage()
     {
-        Brain one("s-a");
-        Brain two("s-a");
-        for (Brain *brain : {&one, &two}) {
-            brain->tellOperators(3, 1);
-            brain->tellTargets(2, unevenTargets());
+        InstanceFixture one("s-a");
+        InstanceFixture two("s-a");
+        for (InstanceFixture *instance : {&one, &two}) {
+            instance->setOperatorRows(3, 1);
+            instance->setTargetRows(2, unevenTargets());
         }
         for (std::uint64_t object = 0; object < 200; ++object)
             CPPUNIT_ASSERT_EQUAL(placedAt(one, object), placedAt(two, object));
@@ -63,12 +63,12 @@
 
     void objectsOfTheRichRegionsStay()
     {
-        Brain brain("t-b");
-        brain.tellOperators(3, 1);
-        brain.tellTargets(2, unevenTargets());
+        InstanceFixture instance("t-b");
+        instance.setOperatorRows(3, 1);
+        instance.setTargetRows(2, unevenTargets());
         for (std::uint64_t object = 0; object < 200; ++object) {
             const auto placed
-                = brain.placer_.place(Fakes::requestContext(brain, "read", object), brain.now_);
+                = instance.placementEngine_.place(Fakes::requestContext(instance, "read", object), instance.now_);
             const auto &placement = std::get<Placement>(placed);
             CPPUNIT_ASSERT_EQUAL(std::string("t"),
                                  placement.target_->record_.domain_.value().substr(0, 1));
@@ -77,13 +77,13 @@
 
     void aReplacedTargetMovesFewObjects()
     {
-        Brain brain("s-a");
-        brain.tellOperators(3, 1);
+        InstanceFixture instance("s-a");
+        instance.setOperatorRows(3, 1);
         auto list = unevenTargets();
-        brain.tellTargets(2, list);
+        instance.setTargetRows(2, list);
         std::vector<std::string> before;
         for (std::uint64_t object = 0; object < 600; ++object)
-            before.push_back(placedAt(brain, object));
+            before.push_back(placedAt(instance, object));
         const std::string gone = before.front();
         for (auto &row : list) {
             if (row.key_ != gone)
@@ -91,10 +91,10 @@
             const bool isInFirst = row.value_->find("s-a") != std::string::npos;
             row = Fakes::target("new", "gauging", isInFirst ? "s-a" : "s-b", 3, "ready", 0, 6);
         }
-        brain.tellTargets(3, list);
+        instance.setTargetRows(3, list);
         int moved = 0;
         for (std::uint64_t object = 0; object < 600; ++object)
-            moved += placedAt(brain, object) != before[object] ? 1 : 0;
+            moved += placedAt(instance, object) != before[object] ? 1 : 0;
         // A twelfth of the objects loses its owner and the new target gains a twelfth: at most two
         // twelfths in total.
         CPPUNIT_ASSERT(moved < 600 * 2 / 12 + 30);
@@ -102,13 +102,13 @@
 
     void triedTargetsAreNotChosenAgain()
     {
-        Brain brain("s-a");
-        brain.tellOperators(3, 1);
-        brain.tellTargets(2, unevenTargets());
-        auto requestContext = Fakes::requestContext(brain, "read", 5);
-        const auto first = std::get<Placement>(brain.placer_.place(requestContext, brain.now_));
+        InstanceFixture instance("s-a");
+        instance.setOperatorRows(3, 1);
+        instance.setTargetRows(2, unevenTargets());
+        auto requestContext = Fakes::requestContext(instance, "read", 5);
+        const auto first = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
         requestContext.tried_.push_back(first.target_->record_.id_);
-        const auto second = std::get<Placement>(brain.placer_.place(requestContext, brain.now_));
+        const auto second = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
         CPPUNIT_ASSERT(first.target_ != second.target_);
     }
 
@@ -117,54 +117,54 @@
     // among the entries of one region only.
     void coldTargetsOfOtherRegionsAreNotUsed()
     {
-        Brain brain("r-a");
-        brain.placer_.setEntries({4, 4, 4});
-        brain.tellOperators(3, 1);
-        brain.tellTargets(2, {Fakes::target("x", "gauging", "s-a", 2, "ready", 3000)});
+        InstanceFixture instance("r-a");
+        instance.placementEngine_.setEntries({4, 4, 4});
+        instance.setOperatorRows(3, 1);
+        instance.setTargetRows(2, {Fakes::target("x", "gauging", "s-a", 2, "ready", 3000)});
         const auto placed
-            = brain.placer_.place(Fakes::requestContext(brain, "read", 1), brain.now_);
+            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 1), instance.now_);
         CPPUNIT_ASSERT(std::holds_alternative<Refusal>(placed));
-        brain.now_ += Milliseconds(3001);
-        CPPUNIT_ASSERT_EQUAL(std::string("x"), placedAt(brain, 1));
+        instance.now_ += Milliseconds(3001);
+        CPPUNIT_ASSERT_EQUAL(std::string("x"), placedAt(instance, 1));
     }
 
     void withoutTargetsARequestIsRefusedAtOnce()
     {
-        Brain brain("r-a");
-        brain.tellOperators(3, 1);
-        brain.tellTargets(2, {});
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(3, 1);
+        instance.setTargetRows(2, {});
         const auto placed
-            = brain.placer_.place(Fakes::requestContext(brain, "read", 1), brain.now_);
+            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 1), instance.now_);
         const auto &refusal = std::get<Refusal>(placed);
         CPPUNIT_ASSERT(refusal.code_ == Model::ResultCode::NoTarget);
-        CPPUNIT_ASSERT(refusal.comeBack_ > Milliseconds(0));
+        CPPUNIT_ASSERT(refusal.retryAfter_ > Milliseconds(0));
     }
 
     // Guards against refusing requests with NoTarget before any target is known.
     void instanceThatKnowsNoTargetsYetIsNotReady()
     {
-        Brain brain("r-a");
-        brain.tellOperators(3, 1);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(3, 1);
         const auto placed
-            = brain.placer_.place(Fakes::requestContext(brain, "read", 1), brain.now_);
+            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 1), instance.now_);
         const auto &refusal = std::get<Refusal>(placed);
         CPPUNIT_ASSERT(refusal.code_ == Model::ResultCode::NotReady);
-        CPPUNIT_ASSERT(refusal.comeBack_ > Milliseconds(0));
+        CPPUNIT_ASSERT(refusal.retryAfter_ > Milliseconds(0));
     }
 
     void homeRegionsBind()
     {
-        Brain brain("r-a");
+        InstanceFixture instance("r-a");
         const std::string text = Fakes::operatorsText(3) + "home_regions = t\n";
-        brain.knowledge_.replace(Steering::StoreTable::Operators,
+        instance.knowledge_.replace(Steering::StoreTable::Operators,
                                  Fakes::rows(1, {Fakes::row("table", text, 1)}), "test");
         std::vector<Platform::StoredRow> list;
         for (const char *domain : {"r-a", "s-a", "t-a"})
             list.push_back(Fakes::target(domain, "transfers", domain, 2));
-        brain.tellTargets(2, list);
+        instance.setTargetRows(2, list);
         for (std::uint64_t object = 0; object < 50; ++object) {
             const auto placed
-                = brain.placer_.place(Fakes::requestContext(brain, "order", object), brain.now_);
+                = instance.placementEngine_.place(Fakes::requestContext(instance, "order", object), instance.now_);
             CPPUNIT_ASSERT_EQUAL(std::string("t-a"),
                                  std::get<Placement>(placed).target_->record_.id_.value());
         }
--- a/Tests/LibSteering/TestPlatformState.cpp
+++ b/Tests/LibSteering/TestPlatformState.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-using Fakes::Brain;
+using Fakes::InstanceFixture;
 using Model::Milliseconds;
 using Steering::StoreTable;
 
@@ -31,9 +31,9 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static std::size_t usable(const Brain &brain, const char *service)
+    static std::size_t usable(const InstanceFixture &instance, const char *service)
     {
-        const auto *targets = brain.book_.service(Model::ServiceId(service));
+        const auto *targets = instance.targetRegistry_.service(Model::ServiceId(service));
         std::size_t count = 0;
         for (std::size_t i = 0; targets && i < targets->byDomain_.size(); ++i)
             count += targets->byDomain_[i].size();
@@ -51,32 +51,32 @@
     // newest.
     void lowerVersionIsNeverApplied()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
-        brain.tellOperators(5, 10);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
+        instance.setOperatorRows(5, 10);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.knowledge_.table()->version().value());
         // A lower version in a newer row is also refused.
-        brain.tellOperators(6, 30);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
+        instance.setOperatorRows(6, 30);
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.knowledge_.table()->version().value());
     }
 
     void invalidTableKeepsThePreviousOneInForce()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
-        brain.knowledge_.replace(
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
+        instance.knowledge_.replace(
             StoreTable::Operators,
             Fakes::rows(30, {Fakes::row("table", "version 8\n[route x]\nhost = h\n", 30)}), "test");
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), brain.knowledge_.table()->version().value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.knowledge_.table()->version().value());
     }
 
     void peersSendNewerRows()
     {
-        Brain upToDate("r-a");
-        upToDate.tellOperators(7, 20, {"s-a"});
-        upToDate.tellTargets(21, fourTargets());
-        Brain partitioned("r-b");
-        partitioned.tellOperators(6, 12);
+        InstanceFixture upToDate("r-a");
+        upToDate.setOperatorRows(7, 20, {"s-a"});
+        upToDate.setTargetRows(21, fourTargets());
+        InstanceFixture partitioned("r-b");
+        partitioned.setOperatorRows(6, 12);
         const std::string encoded
             = upToDate.knowledge_.encodeForPeer(partitioned.knowledge_.knownRevisions());
         CPPUNIT_ASSERT(partitioned.knowledge_.applyFromPeer(encoded, "peer"));
@@ -94,12 +94,12 @@
     // another program has written a registration that is not valid text, which JSON cannot encode.
     void binaryRowsReachPeers()
     {
-        Brain upToDate("r-a");
-        upToDate.tellOperators(7, 20);
+        InstanceFixture upToDate("r-a");
+        upToDate.setOperatorRows(7, 20);
         auto list = fourTargets();
         list.push_back(Fakes::row("e", std::string("\xff\x00\xc3", 3), 21));
-        upToDate.tellTargets(21, list);
-        Brain other("r-b");
+        upToDate.setTargetRows(21, list);
+        InstanceFixture other("r-b");
         CPPUNIT_ASSERT(other.knowledge_.applyFromPeer(
             upToDate.knowledge_.encodeForPeer(other.knowledge_.knownRevisions()), "peer"));
         const auto &rows = other.knowledge_.mirror(StoreTable::Targets).rows();
@@ -112,17 +112,17 @@
     // are compared.
     void peerWithTheSameRowsIsNotBehind()
     {
-        const auto lastChanges = [](const Brain &brain) {
+        const auto lastChanges = [](const InstanceFixture &instance) {
             return Steering::KnownRevisions{
-                brain.knowledge_.mirror(StoreTable::Operators).lastChange(),
-                brain.knowledge_.mirror(StoreTable::Targets).lastChange()};
+                instance.knowledge_.mirror(StoreTable::Operators).lastChange(),
+                instance.knowledge_.mirror(StoreTable::Targets).lastChange()};
         };
-        Brain early("r-a");
-        early.tellOperators(7, 20);
-        early.tellTargets(21, fourTargets());
-        Brain late("r-b");
-        late.tellOperators(7, 20);
-        late.tellTargets(40, fourTargets());
+        InstanceFixture early("r-a");
+        early.setOperatorRows(7, 20);
+        early.setTargetRows(21, fourTargets());
+        InstanceFixture late("r-b");
+        late.setOperatorRows(7, 20);
+        late.setTargetRows(40, fourTargets());
         CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
         CPPUNIT_ASSERT(!late.knowledge_.isBehind(lastChanges(early)));
         late.knowledge_.apply(StoreTable::Targets,
@@ -137,37 +137,37 @@
     // reports the leaving; the call's late answer, at an older revision, has the older row.
     void staleStoreAnswerIsIgnored()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
-        brain.tellTargets(21, fourTargets());
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
+        instance.setTargetRows(21, fourTargets());
         auto list = fourTargets();
         list[0] = Fakes::target("a", "gauging", "r-a", 40, "draining");
-        brain.tellTargets(40, list);
-        brain.knowledge_.apply(StoreTable::Targets,
+        instance.setTargetRows(40, list);
+        instance.knowledge_.apply(StoreTable::Targets,
                                Fakes::rows(30, {Fakes::target("a", "gauging", "r-a", 30)}), "test");
-        brain.update();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
+        instance.update();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
     }
 
     void leavingTargetGetsNoRequestsAfterAStaleRow()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
-        brain.tellTargets(21, {Fakes::target("a", "gauging", "r-a", 21, "draining")});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), usable(brain, "gauging"));
-        brain.tellTargets(22, {Fakes::target("a", "gauging", "r-a", 20)});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(0), usable(brain, "gauging"));
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
+        instance.setTargetRows(21, {Fakes::target("a", "gauging", "r-a", 21, "draining")});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), usable(instance, "gauging"));
+        instance.setTargetRows(22, {Fakes::target("a", "gauging", "r-a", 20)});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(0), usable(instance, "gauging"));
     }
 
     void unregisteredTargetIsDroppedAtOnce()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
         auto list = fourTargets();
-        brain.tellTargets(21, list);
+        instance.setTargetRows(21, list);
         list.pop_back();
-        brain.tellTargets(22, list);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
+        instance.setTargetRows(22, list);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
     }
 
     // Guards against refusing every request for two seconds after a store outage: the outage
@@ -176,40 +176,40 @@
     // departure.
     void expiredTargetsAreUsedUntilTheyRegisterAgain()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
-        brain.tellTargets(21, fourTargets());
-        brain.loseStore();
-        brain.now_ += Milliseconds(5000);
-        brain.regainStore();
-        brain.tellTargets(22, {});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
-        brain.now_ += Milliseconds(1800);
-        brain.dropMissing();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
-        brain.tellTargets(30, fourTargets());
-        brain.now_ += Milliseconds(5000);
-        brain.dropMissing();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
+        instance.setTargetRows(21, fourTargets());
+        instance.disconnectStore();
+        instance.now_ += Milliseconds(5000);
+        instance.reconnectStore();
+        instance.setTargetRows(22, {});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(instance, "gauging"));
+        instance.now_ += Milliseconds(1800);
+        instance.dropMissing();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(instance, "gauging"));
+        instance.setTargetRows(30, fourTargets());
+        instance.now_ += Milliseconds(5000);
+        instance.dropMissing();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(instance, "gauging"));
     }
 
     // Guards against sending requests to a target that left during a store outage: as above, but
     // one target does not register again, and the wait for it has no limit.
     void expiredTargetsThatDoNotReturnAreDropped()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
-        brain.tellTargets(21, fourTargets());
-        brain.loseStore();
-        brain.regainStore();
-        brain.tellTargets(22, {});
-        brain.now_ += Milliseconds(1000);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
+        instance.setTargetRows(21, fourTargets());
+        instance.disconnectStore();
+        instance.reconnectStore();
+        instance.setTargetRows(22, {});
+        instance.now_ += Milliseconds(1000);
         auto list = fourTargets();
         list.pop_back();
-        brain.tellTargets(23, list);
-        brain.now_ += Policy::registrationExpiryGrace;
-        CPPUNIT_ASSERT(brain.dropMissing());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
+        instance.setTargetRows(23, list);
+        instance.now_ += Policy::registrationExpiryGrace;
+        CPPUNIT_ASSERT(instance.dropMissing());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
     }
 
     // Guards against a request that reaches a target 2.52 s after the store recorded its removal;
@@ -218,58 +218,58 @@
     // apparently expired registrations, on top of the propagation time, exceed the limit.
     void targetsThatUnregisterTogetherAreDroppedInTime()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
         auto list = fourTargets();
-        brain.tellTargets(21, list);
+        instance.setTargetRows(21, list);
         list.resize(1);
-        brain.tellTargets(22, list);
+        instance.setTargetRows(22, list);
         const auto propagationTime = Milliseconds(700);
-        brain.now_ += Milliseconds(2500) - propagationTime - Milliseconds(300);
-        brain.dropMissing();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
+        instance.now_ += Milliseconds(2500) - propagationTime - Milliseconds(300);
+        instance.dropMissing();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(instance, "gauging"));
     }
 
     // Guards against a grace period that begins when the update arrives, although peers have
     // noticed the removal before.
     void lateRemovalUpdateDoesNotExtendTheGracePeriod()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
         auto list = fourTargets();
-        brain.tellTargets(21, list);
+        instance.setTargetRows(21, list);
         Steering::RemovalAges ages;
         for (std::size_t i = 1; i < list.size(); ++i)
             ages[list[i].key_] = Policy::unobservedExpiryGrace;
-        brain.book_.hearRemovals(ages, brain.now_);
+        instance.targetRegistry_.receiveRemovals(ages, instance.now_);
         list.resize(1);
-        brain.tellTargets(22, list);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(brain, "gauging"));
+        instance.setTargetRows(22, list);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), usable(instance, "gauging"));
     }
 
     // Guards against a grace period that is shortened by the age of an earlier removal.
     void newRegistrationResetsTheRemovalAge()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
         const auto list = fourTargets();
-        brain.tellTargets(21, list);
-        brain.tellTargets(22, {list.front()});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), brain.book_.removalsToTell(brain.now_).size());
-        brain.tellTargets(23, list);
-        CPPUNIT_ASSERT(brain.book_.removalsToTell(brain.now_).empty());
-        brain.now_ += Policy::unobservedExpiryGrace;
-        brain.tellTargets(24, {list.front()});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
+        instance.setTargetRows(21, list);
+        instance.setTargetRows(22, {list.front()});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), instance.targetRegistry_.removalsToSend(instance.now_).size());
+        instance.setTargetRows(23, list);
+        CPPUNIT_ASSERT(instance.targetRegistry_.removalsToSend(instance.now_).empty());
+        instance.now_ += Policy::unobservedExpiryGrace;
+        instance.setTargetRows(24, {list.front()});
+        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(instance, "gauging"));
     }
 
     void removalAgesReachPeersAndInvalidOnesAreIgnored()
     {
-        Brain brain("r-a");
+        InstanceFixture instance("r-a");
         const Steering::RemovalAges ages = {{"a", Milliseconds(70)}, {"b", Milliseconds(0)}};
-        CPPUNIT_ASSERT(Steering::parseRemovalAges(brain.knowledge_.encodeForPeer({}, ages))
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.knowledge_.encodeForPeer({}, ages))
                        == ages);
-        CPPUNIT_ASSERT(Steering::parseRemovalAges(brain.knowledge_.encodeForPeer({})).empty());
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.knowledge_.encodeForPeer({})).empty());
         CPPUNIT_ASSERT(Steering::parseRemovalAges("damaged").empty());
     }
 
@@ -277,47 +277,47 @@
     // registered again, so a missing one gets no grace period.
     void removalLongAfterAnOutageHasNoGracePeriod()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
         auto list = fourTargets();
-        brain.tellTargets(21, list);
-        brain.loseStore();
-        brain.regainStore();
-        brain.now_ += Milliseconds(3000);
+        instance.setTargetRows(21, list);
+        instance.disconnectStore();
+        instance.reconnectStore();
+        instance.now_ += Milliseconds(3000);
         list.pop_back();
-        brain.tellTargets(22, list);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
+        instance.setTargetRows(22, list);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
     }
 
     // Guards against a grace period that starts with the update on a removal, not with the store's
     // return.
     void targetThatLeavesAfterTheStoreReturnsIsDroppedInTime()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20);
         auto list = fourTargets();
-        brain.tellTargets(21, list);
-        brain.loseStore();
-        brain.now_ += Milliseconds(5000);
-        brain.regainStore();
-        const auto left = brain.now_ + Milliseconds(300);
+        instance.setTargetRows(21, list);
+        instance.disconnectStore();
+        instance.now_ += Milliseconds(5000);
+        instance.reconnectStore();
+        const auto left = instance.now_ + Milliseconds(300);
         const auto propagationTime = Milliseconds(700);
-        brain.now_ = left + propagationTime;
+        instance.now_ = left + propagationTime;
         list.pop_back();
-        brain.tellTargets(22, list);
-        brain.now_ = left + Milliseconds(2500);
-        brain.dropMissing();
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
+        instance.setTargetRows(22, list);
+        instance.now_ = left + Milliseconds(2500);
+        instance.dropMissing();
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
     }
 
     void drainedDomainGetsNoRequests()
     {
-        Brain brain("r-a");
-        brain.tellOperators(7, 20, {"r-a"});
-        brain.tellTargets(21, fourTargets());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(brain, "gauging"));
-        brain.tellOperators(7, 25);
-        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(brain, "gauging"));
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(7, 20, {"r-a"});
+        instance.setTargetRows(21, fourTargets());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
+        instance.setOperatorRows(7, 25);
+        CPPUNIT_ASSERT_EQUAL(std::size_t(4), usable(instance, "gauging"));
     }
 };
 
--- a/Tests/LibSteering/TestTargetRegistry.cpp
+++ b/Tests/LibSteering/TestTargetRegistry.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-using Fakes::Brain;
+using Fakes::InstanceFixture;
 using Model::Microseconds;
 using Model::Milliseconds;
 using Model::TargetId;
@@ -39,17 +39,17 @@
     CPPUNIT_TEST_SUITE_END();
 
 public:
-    static Brain instanceWith(const Platform::StoredRow &row)
+    static InstanceFixture instanceWith(const Platform::StoredRow &row)
     {
-        Brain brain("r-a");
-        brain.tellOperators(3, 1);
-        brain.tellTargets(row.revision_.value(), {row});
-        return brain;
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(3, 1);
+        instance.setTargetRows(row.revision_.value(), {row});
+        return instance;
     }
 
-    static std::shared_ptr<Steering::TargetState> stateIn(const Brain &brain)
+    static std::shared_ptr<Steering::TargetState> stateIn(const InstanceFixture &instance)
     {
-        return brain.book_.all().at(id);
+        return instance.targetRegistry_.all().at(id);
     }
 
     // Guards against identifying an incarnation by the target id alone. A target that crashed while
@@ -58,20 +58,20 @@
     // loaded, and each takes three times as long as estimated.
     void laterIncarnationStartsWithFreshState()
     {
-        auto brain = instanceWith(registration(5, 1000, 40, "draining"));
-        const auto before = stateIn(brain);
-        before->objects_[7] = brain.now_;
+        auto instance = instanceWith(registration(5, 1000, 40, "draining"));
+        const auto before = stateIn(instance);
+        before->objects_[7] = instance.now_;
         before->ownInFlight_ = 3;
         before->isReplaced_ = true;
-        Policy::noteUnreachable(before->reachability_, brain.now_);
-        brain.tellTargets(6, {registration(6, 2000, 1)});
-        const auto after = stateIn(brain);
+        Policy::noteUnreachable(before->reachability_, instance.now_);
+        instance.setTargetRows(6, {registration(6, 2000, 1)});
+        const auto after = stateIn(instance);
         CPPUNIT_ASSERT(after->takesWork());
         CPPUNIT_ASSERT(after->objects_.empty());
         CPPUNIT_ASSERT_EQUAL(std::int64_t(0), after->ownInFlight_);
-        CPPUNIT_ASSERT(Policy::mayTry(after->reachability_, brain.now_));
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), brain.book_.takeRestarted().size());
-        CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
+        CPPUNIT_ASSERT(Policy::mayTry(after->reachability_, instance.now_));
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), instance.targetRegistry_.takeRestarted().size());
+        CPPUNIT_ASSERT(instance.targetRegistry_.takeRestarted().empty());
     }
 
     // Guards against counting answers by target id: a request is sent, the target crashes and
@@ -79,15 +79,15 @@
     // considered warm, and busy with requests that it never received.
     void answersOfAnEarlierIncarnationDoNotCountForALaterOne()
     {
-        auto brain = instanceWith(registration(5, 1000, 40));
-        const auto requestContext = Fakes::requestContext(brain, "read", 7);
-        const auto placed = std::get<Placement>(brain.placer_.place(requestContext, brain.now_));
-        brain.tellTargets(6, {registration(6, 2000, 1)});
-        brain.placer_.noteAnswer(requestContext, placed, Microseconds(150000), brain.now_);
-        brain.placer_.noteNoAnswer(placed, brain.now_, true, brain.now_);
-        const auto after = stateIn(brain);
+        auto instance = instanceWith(registration(5, 1000, 40));
+        const auto requestContext = Fakes::requestContext(instance, "read", 7);
+        const auto placed = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
+        instance.setTargetRows(6, {registration(6, 2000, 1)});
+        instance.placementEngine_.noteAnswer(requestContext, placed, Microseconds(150000), instance.now_);
+        instance.placementEngine_.noteNoAnswer(placed, instance.now_, true, instance.now_);
+        const auto after = stateIn(instance);
         CPPUNIT_ASSERT(after->objects_.empty());
-        CPPUNIT_ASSERT(Policy::mayTry(after->reachability_, brain.now_));
+        CPPUNIT_ASSERT(Policy::mayTry(after->reachability_, instance.now_));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0, after->pace_.failureRate_, 1e-9);
     }
 
@@ -96,22 +96,22 @@
     // target would be dropped, or get requests at an address that it left.
     void earlierIncarnationNeverReplacesALaterOne()
     {
-        auto brain = instanceWith(registration(5, 2000, 1));
-        brain.tellTargets(6, {registration(6, 1000, 41, "draining")});
-        CPPUNIT_ASSERT(stateIn(brain)->takesWork());
-        brain.tellTargets(7, {registration(7, 2000, 2)});
-        CPPUNIT_ASSERT(stateIn(brain)->takesWork());
-        CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
+        auto instance = instanceWith(registration(5, 2000, 1));
+        instance.setTargetRows(6, {registration(6, 1000, 41, "draining")});
+        CPPUNIT_ASSERT(stateIn(instance)->takesWork());
+        instance.setTargetRows(7, {registration(7, 2000, 2)});
+        CPPUNIT_ASSERT(stateIn(instance)->takesWork());
+        CPPUNIT_ASSERT(instance.targetRegistry_.takeRestarted().empty());
     }
 
     // The same as the first test, with targets that do not report their start time.
     void restartedReportCountShowsALaterIncarnation()
     {
-        auto brain = instanceWith(registration(5, 0, 40, "draining"));
-        brain.tellTargets(6, {registration(6, 0, 41)});
-        CPPUNIT_ASSERT(!stateIn(brain)->takesWork());
-        brain.tellTargets(7, {registration(7, 0, 1)});
-        CPPUNIT_ASSERT(stateIn(brain)->takesWork());
+        auto instance = instanceWith(registration(5, 0, 40, "draining"));
+        instance.setTargetRows(6, {registration(6, 0, 41)});
+        CPPUNIT_ASSERT(!stateIn(instance)->takesWork());
+        instance.setTargetRows(7, {registration(7, 0, 1)});
+        CPPUNIT_ASSERT(stateIn(instance)->takesWork());
     }
 
     // Guards against requests that reach a target 2.5 s after it reported that it is leaving. A
@@ -120,10 +120,10 @@
     void laterReportsOfOneIncarnationAreApplied()
     {
         for (const std::uint64_t startedAt : {0, 1000}) {
-            auto brain = instanceWith(registration(5, startedAt, 40));
-            brain.tellTargets(6, {registration(6, startedAt, 41, "draining")});
-            CPPUNIT_ASSERT(!stateIn(brain)->takesWork());
-            CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
+            auto instance = instanceWith(registration(5, startedAt, 40));
+            instance.setTargetRows(6, {registration(6, startedAt, 41, "draining")});
+            CPPUNIT_ASSERT(!stateIn(instance)->takesWork());
+            CPPUNIT_ASSERT(instance.targetRegistry_.takeRestarted().empty());
         }
     }
 
@@ -133,34 +133,34 @@
     // use, the second if one bad row rejects all.
     void unreadableRegistrationNamesNoTarget()
     {
-        Brain brain("r-a");
-        brain.tellOperators(3, 1);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(3, 1);
         const auto other = Fakes::target("b", "gauging", "r-b", 4);
-        brain.tellTargets(5, {registration(5, 1000, 1), other});
-        stateIn(brain)->objects_[7] = brain.now_;
-        brain.tellTargets(6, {Fakes::row("a", "\xff\xfe nonsense", 6), other});
-        CPPUNIT_ASSERT(!stateIn(brain)->takesWork());
-        CPPUNIT_ASSERT(brain.book_.all().at(TargetId("b"))->takesWork());
-        brain.tellTargets(7, {registration(7, 1000, 2), other});
-        CPPUNIT_ASSERT(stateIn(brain)->takesWork());
-        CPPUNIT_ASSERT_EQUAL(std::size_t(1), stateIn(brain)->objects_.size());
+        instance.setTargetRows(5, {registration(5, 1000, 1), other});
+        stateIn(instance)->objects_[7] = instance.now_;
+        instance.setTargetRows(6, {Fakes::row("a", "\xff\xfe nonsense", 6), other});
+        CPPUNIT_ASSERT(!stateIn(instance)->takesWork());
+        CPPUNIT_ASSERT(instance.targetRegistry_.all().at(TargetId("b"))->takesWork());
+        instance.setTargetRows(7, {registration(7, 1000, 2), other});
+        CPPUNIT_ASSERT(stateIn(instance)->takesWork());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(1), stateIn(instance)->objects_.size());
     }
 
     // Guards against a log line for each damaged row on each change of any other row: a damaged row
     // stays in the store for hours, and each update would decode it again.
     void unreadableRegistrationIsLoggedOnce()
     {
-        Brain brain("r-a");
-        brain.tellOperators(3, 1);
+        InstanceFixture instance("r-a");
+        instance.setOperatorRows(3, 1);
         int decoded = 0;
-        const auto decode = brain.port_.decodeTarget_;
-        brain.port_.decodeTarget_ = [&](const Platform::StoredRow &row) {
+        const auto decode = instance.port_.decodeTarget_;
+        instance.port_.decodeTarget_ = [&](const Platform::StoredRow &row) {
             decoded += row.key_ == "bad" ? 1 : 0;
             return decode(row);
         };
         const auto bad = Fakes::row("bad", "", 2);
         for (std::uint64_t revision = 5; revision < 25; ++revision)
-            brain.tellTargets(revision, {registration(revision, 1000, revision), bad});
+            instance.setTargetRows(revision, {registration(revision, 1000, revision), bad});
         CPPUNIT_ASSERT_EQUAL(1, decoded);
     }
 
@@ -173,9 +173,9 @@
         return row;
     }
 
-    static bool takesWork(const Brain &brain, const std::string &target)
+    static bool takesWork(const InstanceFixture &instance, const std::string &target)
     {
-        return brain.book_.all().at(TargetId(target))->takesWork();
+        return instance.targetRegistry_.all().at(TargetId(target))->takesWork();
     }
 
     // Guards against refusing a third of all callers for four seconds while slots are free. The
@@ -186,18 +186,18 @@
     void laterRegistrationAtAnAddressReplacesTheEarlierOne()
     {
         for (const std::uint64_t startedAt : {0, 1000}) {
-            auto brain = instanceWith(registration(5, startedAt, 40));
+            auto instance = instanceWith(registration(5, startedAt, 40));
             const std::uint64_t later = startedAt == 0 ? 0 : startedAt + 1;
             const std::vector<Platform::StoredRow> both
                 = {registration(5, startedAt, 40), atTheAddressOfA("z", 6, later)};
-            brain.tellTargets(6, both);
-            CPPUNIT_ASSERT(!takesWork(brain, "a"));
-            CPPUNIT_ASSERT(takesWork(brain, "z"));
-            CPPUNIT_ASSERT_EQUAL(std::size_t(1), brain.book_.takeRestarted().size());
+            instance.setTargetRows(6, both);
+            CPPUNIT_ASSERT(!takesWork(instance, "a"));
+            CPPUNIT_ASSERT(takesWork(instance, "z"));
+            CPPUNIT_ASSERT_EQUAL(std::size_t(1), instance.targetRegistry_.takeRestarted().size());
             // A late write of the earlier registration does not change that.
-            brain.tellTargets(7, {registration(7, startedAt, 41), both[1]});
-            CPPUNIT_ASSERT(!takesWork(brain, "a"));
-            CPPUNIT_ASSERT(brain.book_.takeRestarted().empty());
+            instance.setTargetRows(7, {registration(7, startedAt, 41), both[1]});
+            CPPUNIT_ASSERT(!takesWork(instance, "a"));
+            CPPUNIT_ASSERT(instance.targetRegistry_.takeRestarted().empty());
         }
     }
 
@@ -206,14 +206,14 @@
     // the disproved registration stays in force.
     void registrationAtAForeignAddressIsDisprovedByARejection()
     {
-        auto brain = instanceWith(registration(5, 1000, 40));
-        brain.tellTargets(6, {registration(5, 1000, 40), atTheAddressOfA("z", 6, 2000)});
-        brain.book_.all().at(TargetId("z"))->isReplaced_ = true;
-        brain.dropMissing();
-        CPPUNIT_ASSERT(takesWork(brain, "a"));
+        auto instance = instanceWith(registration(5, 1000, 40));
+        instance.setTargetRows(6, {registration(5, 1000, 40), atTheAddressOfA("z", 6, 2000)});
+        instance.targetRegistry_.all().at(TargetId("z"))->isReplaced_ = true;
+        instance.dropMissing();
+        CPPUNIT_ASSERT(takesWork(instance, "a"));
         const auto placed
-            = brain.placer_.place(Fakes::requestContext(brain, "read", 7), brain.now_);
-        CPPUNIT_ASSERT(std::get<Placement>(placed).target_ == stateIn(brain));
+            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 7), instance.now_);
+        CPPUNIT_ASSERT(std::get<Placement>(placed).target_ == stateIn(instance));
     }
 
     void fullTargetIsKnownToOthersAndUnknownOnesAreIgnored()
@@ -222,15 +222,15 @@
         auto receiver = instanceWith(registration(5, 1000, 40));
         const auto &slots = stateIn(sender)->record_.slots_;
         Policy::learnLoad(stateIn(sender)->sharedLoad_, 9, slots, sender.now_);
-        auto loads = sender.book_.loadsToTell(sender.now_);
+        auto loads = sender.targetRegistry_.loadsToSend(sender.now_);
         CPPUNIT_ASSERT_EQUAL(std::size_t(1), loads.size());
         loads.push_back({12345, 9, Milliseconds(0)});
-        receiver.book_.hearLoads(loads, receiver.now_);
+        receiver.targetRegistry_.receiveLoads(loads, receiver.now_);
         const auto &receivedLoad = stateIn(receiver)->sharedLoad_;
         CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::peerLoadByUpdates(receivedLoad, 0, receiver.now_), 1e-9);
         // A request would now have to wait there.
         const auto placed
-            = receiver.placer_.place(Fakes::requestContext(receiver, "read", 7), receiver.now_);
+            = receiver.placementEngine_.place(Fakes::requestContext(receiver, "read", 7), receiver.now_);
         const auto *placement = std::get_if<Placement>(&placed);
         CPPUNIT_ASSERT(!placement || placement->load_ >= 9);
     }
@@ -238,8 +238,8 @@
     void anyOrderOfRegistrationsEndsAtTheLatestIncarnation()
     {
         Support::assertProperty("the latest run is in force, unless it is leaving", [] {
-            Brain brain("r-a");
-            brain.tellOperators(3, 1);
+            InstanceFixture instance("r-a");
+            instance.setOperatorRows(3, 1);
             std::uint64_t latest = 0;
             bool isLeaving = false;
             for (std::uint64_t revision = 5; revision < 15; ++revision) {
@@ -247,16 +247,16 @@
                 const bool leaves = *rc::gen::arbitrary<bool>();
                 const bool isDamaged = *rc::gen::inRange(0, 4) == 0;
                 if (isDamaged) {
-                    brain.tellTargets(revision, {Fakes::row("a", "?", revision)});
+                    instance.setTargetRows(revision, {Fakes::row("a", "?", revision)});
                     continue;
                 }
-                brain.tellTargets(revision, {registration(revision, startedAt, revision,
+                instance.setTargetRows(revision, {registration(revision, startedAt, revision,
                                                           leaves ? "draining" : "ready")});
                 if (startedAt >= latest) {
                     isLeaving = leaves || (startedAt == latest && isLeaving);
                     latest = startedAt;
                 }
-                const auto &record = stateIn(brain)->record_;
+                const auto &record = stateIn(instance)->record_;
                 RC_ASSERT(record.incarnation_.value() == latest);
                 RC_ASSERT(record.isLeaving_ == isLeaving);
             }
