--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -92,11 +92,11 @@
 } // namespace
 
 Dispatcher::Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-                       const Knowledge &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
+                       const PlatformState &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
                        Observe::DecisionLog &log)
     : context_(context)
     , port_(port)
-    , knowledge_(knowledge)
+    , platformState_(knowledge)
     , placementEngine_(placementEngine)
     , guard_(guard)
     , log_(log)
@@ -125,7 +125,7 @@
     const Http::Request &message = request.incoming_.message_;
     request.arrivedAt_ = request.incoming_.arrivedAt_;
     request.id_ = std::string(textOf(message[viewOf(port_.headers_.requestId_)]));
-    request.table_ = knowledge_.table();
+    request.table_ = platformState_.table();
     if (!request.table_ || !guard_.isInformed())
         return refuse(request, {ResultCode::NotReady, retryDelayWhenNotReady, Microseconds(0)});
 
@@ -290,13 +290,13 @@
 /// chosen.
 bool Dispatcher::maySendTo(const TargetState &target) const
 {
-    return target.takesWork() && !knowledge_.drained().contains(target.record_.domain_);
+    return target.takesWork() && !platformState_.drained().contains(target.record_.domain_);
 }
 
 void Dispatcher::noteSend(const RequestContext &request, TargetState &target)
 {
     const auto now = steadyNow();
-    target.lastSend_ = {request.id_, now, knowledge_.mirror(StoreTable::Targets).position(),
+    target.lastSend_ = {request.id_, now, platformState_.replica(StoreTable::Targets).knownRevision(),
                         targetsFreshness_()};
     if (!target.removedRegistration_)
         return;
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -34,7 +34,7 @@
 {
 public:
     Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-               const Knowledge &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
+               const PlatformState &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
                Observe::DecisionLog &log);
 
     /// Answers one caller's request.
@@ -103,7 +103,7 @@
 
     Http::asio::io_context &context_;
     const PlatformPort &port_;
-    const Knowledge &knowledge_;
+    const PlatformState &platformState_;
     PlacementEngine &placementEngine_;
     CrashGuard &guard_;
     Observe::DecisionLog &log_;
--- a/Libraries/LibSteering/DispatcherOutcomes.cpp
+++ b/Libraries/LibSteering/DispatcherOutcomes.cpp
@@ -39,13 +39,13 @@
         .add("sent", wasSent ? "in part" : "no")
         .add("chosen_ms_ago", std::chrono::duration_cast<Microseconds>(steadyNow() - chosenAt))
         .add("knowing",
-             static_cast<std::int64_t>(knowledge_.mirror(StoreTable::Targets).position().value()))
-        .add("by", knowledge_.targetsSource());
+             static_cast<std::int64_t>(platformState_.replica(StoreTable::Targets).knownRevision().value()))
+        .add("by", platformState_.targetsSource());
 }
 
 void Dispatcher::noteLoad(TargetState &target, const Http::Response &answer)
 {
-    const auto load = port_.loadIn_(answer);
+    const auto load = port_.parseLoad_(answer);
     if (!load)
         return;
     Policy::learnLoad(target.sharedLoad_, static_cast<double>(load->running_ + load->waiting_),
--- a/Libraries/LibSteering/Instance.cpp
+++ b/Libraries/LibSteering/Instance.cpp
@@ -188,7 +188,7 @@
 
 void Instance::updateEntryCounts()
 {
-    const auto &table = parts_->knowledge_.table();
+    const auto &table = parts_->platformState_.table();
     if (!table)
         return;
     const auto now = steadyNow();
@@ -205,7 +205,7 @@
 
 void Instance::platformStateChanged()
 {
-    auto &platformState = parts_->knowledge_;
+    auto &platformState = parts_->platformState_;
     if (seenTableChanges_ != platformState.tableChanges()) {
         seenTableChanges_ = platformState.tableChanges();
         parts_->placementEngine_.tableChanged();
@@ -221,8 +221,8 @@
 
 void Instance::updateReadiness()
 {
-    const bool isReady = !isStopping_ && parts_->knowledge_.table()
-                         && parts_->knowledge_.mirror(StoreTable::Targets).isKnown()
+    const bool isReady = !isStopping_ && parts_->platformState_.table()
+                         && parts_->platformState_.replica(StoreTable::Targets).isKnown()
                          && parts_->guard_.isInformed();
     if (isReady == isReady_)
         return;
--- a/Libraries/LibSteering/InstanceAnswers.cpp
+++ b/Libraries/LibSteering/InstanceAnswers.cpp
@@ -27,7 +27,7 @@
 Task<Http::Response> Instance::answerLookup(Http::IncomingRequest request)
 {
     const unsigned version = request.message_.version();
-    const auto query = port_.readLookup_(request.message_);
+    const auto query = port_.parseLookup_(request.message_);
     if (!query)
         co_return Http::refusal(Model::lastReason(), version);
     const auto now = steadyNow();
@@ -45,13 +45,13 @@
         co_return Http::refusal({Model::ResultCode::NotReady, ""}, version);
     if (entries.size() > maxEntriesListed)
         entries.resize(maxEntriesListed);
-    co_return port_.lookupAnswer_(entries, std::min(lookupTtl, port_.terms_.longestLookupLife_));
+    co_return port_.lookupAnswer_(entries, std::min(lookupTtl, port_.terms_.maxLookupTtl_));
 }
 
 Task<Http::Response> Instance::answerReady(Http::IncomingRequest request)
 {
     const unsigned version = request.message_.version();
-    if (!port_.asksReadiness_(request.message_)) {
+    if (!port_.isReadinessProbe_(request.message_)) {
         co_return Http::textAnswer(http::status::not_found, "text/plain", "", version);
     }
     const auto status = isReady_ ? http::status::ok : http::status::service_unavailable;
--- a/Libraries/LibSteering/InstanceMetrics.cpp
+++ b/Libraries/LibSteering/InstanceMetrics.cpp
@@ -49,7 +49,7 @@
                  std::string("call=\"") + nameOf(what.first) + "\",reach=\"" + nameOf(what.second)
                      + "\"");
     }
-    const auto &table = parts_->knowledge_.table();
+    const auto &table = parts_->platformState_.table();
     text.add("cassiacrank_table_version", "Version of the table in force.", "gauge",
              table ? static_cast<double>(table->version().value()) : 0);
     text.add("cassiacrank_in_progress", "Requests in progress.", "gauge",
--- a/Libraries/LibSteering/InstanceParts.cpp
+++ b/Libraries/LibSteering/InstanceParts.cpp
@@ -26,14 +26,14 @@
 }
 
 Instance::Parts::Parts(Instance &instance)
-    : knowledge_(instance.port_, instance.settings_, instance.log_)
-    , targetRegistry_(instance.port_, knowledge_, instance.log_)
-    , placementEngine_(instance.settings_, knowledge_, targetRegistry_)
+    : platformState_(instance.port_, instance.settings_, instance.log_)
+    , targetRegistry_(instance.port_, platformState_, instance.log_)
+    , placementEngine_(instance.settings_, platformState_, targetRegistry_)
     , guard_(instance.port_, instance.log_)
-    , dispatcher_(instance.context_, instance.port_, knowledge_, placementEngine_, guard_, instance.log_)
-    , peers_(instance.context_, instance.settings_, knowledge_, instance.log_)
+    , dispatcher_(instance.context_, instance.port_, platformState_, placementEngine_, guard_, instance.log_)
+    , peers_(instance.context_, instance.settings_, platformState_, instance.log_)
     , follower_(
-          instance.context_, instance.port_, knowledge_, instance.log_,
+          instance.context_, instance.port_, platformState_, instance.log_,
           [&instance] {
               instance.platformStateChanged();
           },
--- a/Libraries/LibSteering/InstanceParts.h
+++ b/Libraries/LibSteering/InstanceParts.h
@@ -12,7 +12,7 @@
 {
     explicit Parts(Instance &instance);
 
-    Knowledge knowledge_;
+    PlatformState platformState_;
     TargetRegistry targetRegistry_;
     PlacementEngine placementEngine_;
     CrashGuard guard_;
--- a/Libraries/LibSteering/Knowledge.cpp
+++ b/Libraries/LibSteering/Knowledge.cpp
@@ -25,10 +25,10 @@
     return {{"position", rows.revision_.value()}, {"whole", isWhole}, {"rows", std::move(list)}};
 }
 
-json jsonFor(const Mirror &mirror, Platform::Revision held)
+json jsonFor(const TableReplica &replica, Platform::Revision held)
 {
-    const auto changes = mirror.changesSince(held);
-    return changes ? toJson(*changes, false) : toJson(mirror.snapshot(), true);
+    const auto changes = replica.changesSince(held);
+    return changes ? toJson(*changes, false) : toJson(replica.snapshot(), true);
 }
 
 /// Throws json::exception for input that toJson() has not written.
@@ -49,7 +49,7 @@
 
 } // namespace
 
-Knowledge::Knowledge(const PlatformPort &port, const Observe::Settings &settings,
+PlatformState::PlatformState(const PlatformPort &port, const Observe::Settings &settings,
                      Observe::DecisionLog &log)
     : port_(port)
     , settings_(settings)
@@ -57,18 +57,18 @@
 {
 }
 
-const Mirror &Knowledge::mirror(StoreTable table) const
+const TableReplica &PlatformState::replica(StoreTable table) const
 {
     return table == StoreTable::Operators ? operators_ : targets_;
 }
 
-void Knowledge::replace(StoreTable table, const Platform::StoredRows &rows, std::string_view source)
+void PlatformState::replace(StoreTable table, const Platform::StoredRows &rows, std::string_view source)
 {
-    Mirror &mirror = table == StoreTable::Operators ? operators_ : targets_;
-    if (!mirror.replace(rows)) {
+    TableReplica &replica = table == StoreTable::Operators ? operators_ : targets_;
+    if (!replica.replace(rows)) {
         log_.line(Event::TableRefused)
             .add("source", source)
-            .add("held", static_cast<std::int64_t>(mirror.position().value()))
+            .add("held", static_cast<std::int64_t>(replica.knownRevision().value()))
             .add("offered", static_cast<std::int64_t>(rows.revision_.value()));
         return;
     }
@@ -80,14 +80,14 @@
     }
 }
 
-void Knowledge::apply(StoreTable table, const Platform::StoredRows &changes,
+void PlatformState::apply(StoreTable table, const Platform::StoredRows &changes,
                       std::string_view source)
 {
-    Mirror &mirror = table == StoreTable::Operators ? operators_ : targets_;
-    const auto before = mirror.lastChange();
-    mirror.apply(changes);
+    TableReplica &replica = table == StoreTable::Operators ? operators_ : targets_;
+    const auto before = replica.lastChange();
+    replica.apply(changes);
     // A peer may have sent all these changes while the store's answer was in transit.
-    if (mirror.lastChange() == before)
+    if (replica.lastChange() == before)
         return;
     if (table == StoreTable::Operators) {
         operatorsChanged(source);
@@ -97,7 +97,7 @@
     }
 }
 
-std::vector<Model::Row> Knowledge::allRows(OperatorRows operators) const
+std::vector<Model::Row> PlatformState::allRows(OperatorRows operators) const
 {
     std::vector<Model::Row> rows = std::move(operators.rows_);
     const std::string cap = std::to_string(port_.terms_.regionShiftCap_.value() * 100);
@@ -119,7 +119,7 @@
     return rows;
 }
 
-void Knowledge::operatorsChanged(std::string_view source)
+void PlatformState::operatorsChanged(std::string_view source)
 {
     std::vector<Platform::StoredRow> rows;
     for (const auto &[key, row] : operators_.rows())
@@ -156,21 +156,21 @@
         drained += (drained.empty() ? "" : ",") + domain.value();
     log_.line(Event::TableApplied)
         .add("version", static_cast<std::int64_t>(table_->version().value()))
-        .add("position", static_cast<std::int64_t>(operators_.position().value()))
+        .add("position", static_cast<std::int64_t>(operators_.knownRevision().value()))
         .add("source", source)
         .add("routes", static_cast<std::int64_t>(table_->routes().all().size()))
         .add("drained", drained);
 }
 
-KnownRevisions Knowledge::knownRevisions() const
+KnownRevisions PlatformState::knownRevisions() const
 {
-    return {operators_.position(), targets_.position()};
+    return {operators_.knownRevision(), targets_.knownRevision()};
 }
 
-bool Knowledge::isBehind(const KnownRevisions &lastChanges) const
+bool PlatformState::isBehind(const KnownRevisions &lastChanges) const
 {
-    return lastChanges.operators_ > operators_.position()
-           || lastChanges.targets_ > targets_.position();
+    return lastChanges.operators_ > operators_.knownRevision()
+           || lastChanges.targets_ > targets_.knownRevision();
 }
 
 RemovalAges parseRemovalAges(const std::string &text)
@@ -186,7 +186,7 @@
     return ages;
 }
 
-std::string Knowledge::encodeForPeer(const KnownRevisions &known, const RemovalAges &removals) const
+std::string PlatformState::encodeForPeer(const KnownRevisions &known, const RemovalAges &removals) const
 {
     json text = json::object();
     if (operators_.isKnown())
@@ -201,7 +201,7 @@
     return bytes;
 }
 
-bool Knowledge::applyFromPeer(const std::string &text, const std::string &peer)
+bool PlatformState::applyFromPeer(const std::string &text, const std::string &peer)
 {
     const json parsed = json::from_msgpack(text, true, false);
     if (!parsed.is_object()) {
@@ -216,8 +216,8 @@
             return;
         const auto rows = rowsFromJson(parsed[name]);
         const bool isWhole = parsed[name].at("whole").get<bool>();
-        const Mirror &held = mirror(table);
-        const bool isNewer = !held.isKnown() || rows.revision_ > held.position();
+        const TableReplica &held = replica(table);
+        const bool isNewer = !held.isKnown() || rows.revision_ > held.knownRevision();
         // Changes apply to the revision that was held when they were requested; without any rows
         // they are useless.
         if (!isNewer || (!isWhole && !held.isKnown()))
@@ -226,7 +226,7 @@
         log_.line(Event::KnowledgeFromPeer)
             .add("peer", peer)
             .add("table", name)
-            .add("held", static_cast<std::int64_t>(held.position().value()))
+            .add("held", static_cast<std::int64_t>(held.knownRevision().value()))
             .add("offered", static_cast<std::int64_t>(rows.revision_.value()))
             .add("rows", static_cast<std::int64_t>(rows.rows_.size()));
         if (isWhole) {
--- a/Libraries/LibSteering/Knowledge.h
+++ b/Libraries/LibSteering/Knowledge.h
@@ -14,7 +14,7 @@
 /// removed, by target id.
 using RemovalAges = std::map<std::string, Model::Milliseconds>;
 
-/// Returns the ages in a text that Knowledge::encodeForPeer() wrote; empty if there are none or
+/// Returns the ages in a text that PlatformState::encodeForPeer() wrote; empty if there are none or
 /// they cannot be parsed. Thread safety: any thread.
 RemovalAges parseRemovalAges(const std::string &text);
 
@@ -29,17 +29,17 @@
 ///
 /// Versions only increase, whether the store or a peer supplies them. Thread safety: none; belongs
 /// to one thread.
-class Knowledge
+class PlatformState
 {
 public:
-    Knowledge(const PlatformPort &port, const Observe::Settings &settings,
+    PlatformState(const PlatformPort &port, const Observe::Settings &settings,
               Observe::DecisionLog &log);
 
     /// Records all rows of a table, or the changes since its revision.
     void replace(StoreTable table, const Platform::StoredRows &rows, std::string_view source);
     void apply(StoreTable table, const Platform::StoredRows &changes, std::string_view source);
 
-    const Mirror &mirror(StoreTable table) const;
+    const TableReplica &replica(StoreTable table) const;
 
     /// The operators' table in force, or nullptr before the first one.
     const std::shared_ptr<const Model::Table> &table() const { return table_; }
@@ -76,8 +76,8 @@
     const PlatformPort &port_;
     const Observe::Settings &settings_;
     Observe::DecisionLog &log_;
-    Mirror operators_;
-    Mirror targets_;
+    TableReplica operators_;
+    TableReplica targets_;
     std::shared_ptr<const Model::Table> table_;
     std::set<Model::FailureDomainId> drained_;
     std::uint64_t tableChanges_ = 0;
--- a/Libraries/LibSteering/PeerCalls.cpp
+++ b/Libraries/LibSteering/PeerCalls.cpp
@@ -110,10 +110,10 @@
     const Model::Address &address = chosen.addresses_.control_;
     const Http::ExchangeOptions options = optionsTo(addressToDial(address), fetchTimeout);
     const Http::Request request
-        = requestTo(address, http::verb::get, stateRequestTarget(knowledge_.knownRevisions()), "");
+        = requestTo(address, http::verb::get, stateRequestTarget(platformState_.knownRevisions()), "");
     const auto result = co_await Http::exchange(pool_, options, request, Http::anyAnswer);
     pendingFetches_.erase(chosen.id_);
-    countCall(PeerCall::Knowledge, chosen, request, result);
+    countCall(PeerCall::PlatformState, chosen, request, result);
     const bool isOk = result.answer_ && result.answer_->result() == http::status::ok;
     if (!isOk) {
         nextFetchAt_ = std::chrono::steady_clock::now() + fetchRetryDelay;
@@ -121,7 +121,7 @@
     }
     const auto &text = result.answer_->body();
     receiveRemovals_(parseRemovalAges(text));
-    if (knowledge_.applyFromPeer(text, chosen.id_.value()) && changed_)
+    if (platformState_.applyFromPeer(text, chosen.id_.value()) && changed_)
         changed_();
     behindSince_.reset();
 }
@@ -163,7 +163,7 @@
     if (!known)
         return Http::textAnswer(http::status::not_found, "text/plain", "", request.version());
     return Http::textAnswer(http::status::ok, messageType,
-                            knowledge_.encodeForPeer(*known, provideRemovals_()),
+                            platformState_.encodeForPeer(*known, provideRemovals_()),
                             request.version());
 }
 
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -34,10 +34,10 @@
 } // namespace
 
 PeerExchange::PeerExchange(Http::asio::io_context &context, const Observe::Settings &settings,
-                           Knowledge &platformState, Observe::DecisionLog &log)
+                           PlatformState &platformState, Observe::DecisionLog &log)
     : context_(context)
     , settings_(settings)
-    , knowledge_(platformState)
+    , platformState_(platformState)
     , log_(log)
     , server_(context, peerLimits(),
               [this](Http::IncomingRequest request) {
@@ -86,8 +86,8 @@
     heartbeatRecord.store_ = store_.contact_;
     heartbeatRecord.storeAnswered_ = std::chrono::duration_cast<Milliseconds>(answered);
     heartbeatRecord.targetsRead_ = isStoreReached ? store_.targetsRead_ : 0;
-    heartbeatRecord.operatorsSeen_ = knowledge_.mirror(StoreTable::Operators).lastChange().value();
-    heartbeatRecord.targetsSeen_ = knowledge_.mirror(StoreTable::Targets).lastChange().value();
+    heartbeatRecord.operatorsSeen_ = platformState_.replica(StoreTable::Operators).lastChange().value();
+    heartbeatRecord.targetsSeen_ = platformState_.replica(StoreTable::Targets).lastChange().value();
     heartbeatRecord.regionEntries_
         = static_cast<std::uint32_t>(Policy::entriesIn(members_, settings_.region_, now));
 }
@@ -275,7 +275,7 @@
     const auto hasNewerRows = [this](const Policy::Member &member) {
         const auto &heartbeatRecord = member.heartbeatRecord_;
         return !pendingFetches_.contains(member.instance_.id_)
-               && knowledge_.isBehind({Platform::Revision(heartbeatRecord.operatorsSeen_),
+               && platformState_.isBehind({Platform::Revision(heartbeatRecord.operatorsSeen_),
                                        Platform::Revision(heartbeatRecord.targetsSeen_)});
     };
     return Policy::nearestPeerWith(members_, localInstance(), hasNewerRows, now, random_());
@@ -307,7 +307,7 @@
     const auto &heartbeatRecord = peer.heartbeatRecord_;
     const auto seen = table == StoreTable::Operators ? heartbeatRecord.operatorsSeen_
                                                      : heartbeatRecord.targetsSeen_;
-    return Platform::Revision(seen) > knowledge_.mirror(table).position()
+    return Platform::Revision(seen) > platformState_.replica(table).knownRevision()
            && hasWaitedSince_(table, now - Policy::readerCallTimeout);
 }
 
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -21,7 +21,7 @@
 {
 public:
     PeerExchange(Http::asio::io_context &context, const Observe::Settings &settings,
-                 Knowledge &platformState, Observe::DecisionLog &log);
+                 PlatformState &platformState, Observe::DecisionLog &log);
 
     /// Begins to listen and to gossip. Returns false, with the last reason set, if it cannot
     /// listen.
@@ -112,7 +112,7 @@
 
     Http::asio::io_context &context_;
     const Observe::Settings &settings_;
-    Knowledge &knowledge_;
+    PlatformState &platformState_;
     Observe::DecisionLog &log_;
     Http::Server server_;
     Http::ConnectionPool pool_;
--- a/Libraries/LibSteering/PeerTraffic.cpp
+++ b/Libraries/LibSteering/PeerTraffic.cpp
@@ -21,7 +21,7 @@
         return "gossip";
     case PeerCall::Announcement:
         return "announcement";
-    case PeerCall::Knowledge:
+    case PeerCall::PlatformState:
         break;
     }
     return "knowledge";
--- a/Libraries/LibSteering/PlacementEngine.cpp
+++ b/Libraries/LibSteering/PlacementEngine.cpp
@@ -24,16 +24,16 @@
 
 } // namespace
 
-PlacementEngine::PlacementEngine(const Observe::Settings &settings, const Knowledge &knowledge, TargetRegistry &registry)
+PlacementEngine::PlacementEngine(const Observe::Settings &settings, const PlatformState &knowledge, TargetRegistry &registry)
     : settings_(settings)
-    , knowledge_(knowledge)
+    , platformState_(knowledge)
     , registry_(registry)
 {
 }
 
 void PlacementEngine::tableChanged()
 {
-    const auto &table = knowledge_.table();
+    const auto &table = platformState_.table();
     if (!table)
         return;
     for (std::size_t i = 0; i < table->domains().size(); ++i) {
@@ -74,7 +74,7 @@
 {
     if (route.allowedRegions_.empty())
         return true;
-    const auto &region = knowledge_.table()->domains()[domain].region_;
+    const auto &region = platformState_.table()->domains()[domain].region_;
     return std::find(route.allowedRegions_.begin(), route.allowedRegions_.end(), region)
            != route.allowedRegions_.end();
 }
@@ -283,7 +283,7 @@
 
 std::variant<Placement, Refusal> PlacementEngine::place(const RequestContext &request, SteadyTime now)
 {
-    if (!knowledge_.mirror(StoreTable::Targets).isKnown())
+    if (!platformState_.replica(StoreTable::Targets).isKnown())
         return Refusal{ResultCode::NotReady, retryDelayWhenNotReady, Microseconds(0)};
     const ServiceTargets *targets = registry_.service(request.service_);
     if (targets) {
--- a/Libraries/LibSteering/PlacementEngine.h
+++ b/Libraries/LibSteering/PlacementEngine.h
@@ -14,7 +14,7 @@
 class PlacementEngine
 {
 public:
-    PlacementEngine(const Observe::Settings &settings, const Knowledge &knowledge, TargetRegistry &registry);
+    PlacementEngine(const Observe::Settings &settings, const PlatformState &knowledge, TargetRegistry &registry);
 
     /// Sets, for each of the table's regions, how many entries run there.
     void setEntries(std::vector<std::size_t> entries) { entries_ = std::move(entries); }
@@ -113,7 +113,7 @@
     bool isAllowed(const Model::Route &route, std::size_t domain) const;
 
     const Observe::Settings &settings_;
-    const Knowledge &knowledge_;
+    const PlatformState &platformState_;
     TargetRegistry &registry_;
     std::vector<std::size_t> entries_;
     std::size_t localDomain_ = 0;
--- a/Libraries/LibSteering/PlatformPort.h
+++ b/Libraries/LibSteering/PlatformPort.h
@@ -38,7 +38,7 @@
     /// Time from the stop signal until the platform kills the process.
     Model::Milliseconds stopGrace_{6000};
     /// Callers cache a look-up's answer for at most this long.
-    Model::Milliseconds longestLookupLife_{5000};
+    Model::Milliseconds maxLookupTtl_{5000};
     /// All instances together may retry this fraction of a service's requests ...
     double retryShare_ = 0.2;
     /// ... plus this many requests in a window.
@@ -110,16 +110,16 @@
 
     /// Parses a caller's look-up of entries. Returns std::nullopt, with the last reason set, if the
     /// request is not a valid look-up.
-    std::function<std::optional<Policy::LookupQuery>(const Http::Request &)> readLookup_;
+    std::function<std::optional<Policy::LookupQuery>(const Http::Request &)> parseLookup_;
     /// Returns the answer that lists \a entries, which callers may cache for \a life.
     std::function<Http::Response(const std::vector<Model::Instance> &entries,
                                  Model::Milliseconds ttl)>
         lookupAnswer_;
     /// Tells whether a request is a readiness probe.
-    std::function<bool(const Http::Request &)> asksReadiness_;
+    std::function<bool(const Http::Request &)> isReadinessProbe_;
 
     /// Parses the load report in a target's answer, if there is one.
-    std::function<std::optional<LoadReport>(const Http::Response &)> loadIn_;
+    std::function<std::optional<LoadReport>(const Http::Response &)> parseLoad_;
 
     HeaderNames headers_;
     PlatformTerms terms_;
--- a/Libraries/LibSteering/StoreFollower.cpp
+++ b/Libraries/LibSteering/StoreFollower.cpp
@@ -47,12 +47,12 @@
 } // namespace
 
 StoreFollower::StoreFollower(Http::asio::io_context &context, const PlatformPort &port,
-                             Knowledge &platformState, Observe::DecisionLog &log,
+                             PlatformState &platformState, Observe::DecisionLog &log,
                              std::function<void()> changed,
                              std::function<Policy::ReaderRank()> rank)
     : context_(context)
     , port_(port)
-    , knowledge_(platformState)
+    , platformState_(platformState)
     , log_(log)
     , changed_(std::move(changed))
     , rank_(std::move(rank))
@@ -91,7 +91,7 @@
 bool StoreFollower::shouldRead(StoreTable table, const Progress &progress) const
 {
     return rank_() != Policy::ReaderRank::None || progress.failures_ > 0
-           || !knowledge_.mirror(table).isKnown();
+           || !platformState_.replica(table).isKnown();
 }
 
 StoreFollower::Progress &StoreFollower::progressOf(StoreTable table)
@@ -173,7 +173,7 @@
             .add("table", nameOf(table))
             .add("reads", isReading ? "yes" : "no")
             .add("position",
-                 static_cast<std::int64_t>(knowledge_.mirror(table).position().value()));
+                 static_cast<std::int64_t>(platformState_.replica(table).knownRevision().value()));
     }
     if (!isReading)
         progress.answeredSince_.reset();
@@ -189,21 +189,21 @@
     }
     recordSuccess(table, progress, rows->revision_);
     progress.needsFullRead_ = false;
-    knowledge_.replace(table, *rows, "store");
+    platformState_.replace(table, *rows, "store");
     changed_();
     co_return true;
 }
 
 Task<bool> StoreFollower::readChanges(StoreTable table, Progress &progress)
 {
-    const auto position = knowledge_.mirror(table).position();
+    const auto knownRevision = platformState_.replica(table).knownRevision();
     const auto wait = waitTimeout(progress);
     progress.isRestarted_ = false;
     Http::ExchangeControl control;
     progress.waitingSince_ = std::chrono::steady_clock::now();
     // A call that does not wait ends soon by itself.
     progress.waitingCall_ = wait.count() > 0 ? &control : nullptr;
-    const auto changes = co_await port_.awaitChanges_(table, position, wait, control);
+    const auto changes = co_await port_.awaitChanges_(table, knownRevision, wait, control);
     progress.waitingCall_ = nullptr;
     if (!changes && control.isCancelled())
         co_return true;
@@ -211,7 +211,7 @@
         if (Model::lastReason().code_ == ResultCode::PlatformHistoryGone) {
             log_.line(Event::HistoryLost)
                 .add("table", nameOf(table))
-                .add("position", static_cast<std::int64_t>(position.value()));
+                .add("position", static_cast<std::int64_t>(knownRevision.value()));
             progress.needsFullRead_ = true;
             co_return true;
         }
@@ -220,7 +220,7 @@
     }
     recordSuccess(table, progress, changes->revision_);
     const bool hasChanges = !changes->rows_.empty();
-    knowledge_.apply(table, *changes, "store");
+    platformState_.apply(table, *changes, "store");
     if (hasChanges) {
         changed_();
         co_await Http::sleepFor(batchDelay(table));
--- a/Libraries/LibSteering/StoreFollower.h
+++ b/Libraries/LibSteering/StoreFollower.h
@@ -15,7 +15,7 @@
 public:
     /// Calls \a changed after recording any rows, and \a rank before each call to the store.
     StoreFollower(Http::asio::io_context &context, const PlatformPort &port,
-                  Knowledge &platformState, Observe::DecisionLog &log,
+                  PlatformState &platformState, Observe::DecisionLog &log,
                   std::function<void()> changed, std::function<Policy::ReaderRank()> rank);
 
     void start();
@@ -71,7 +71,7 @@
 
     Http::asio::io_context &context_;
     const PlatformPort &port_;
-    Knowledge &knowledge_;
+    PlatformState &platformState_;
     Observe::DecisionLog &log_;
     std::function<void()> changed_;
     std::function<Policy::ReaderRank()> rank_;
--- a/Libraries/LibSteering/TableReplica.cpp
+++ b/Libraries/LibSteering/TableReplica.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-bool Mirror::replace(const StoredRows &rows)
+bool TableReplica::replace(const StoredRows &rows)
 {
     if (isKnown_ && rows.revision_ < knownRevision_)
         return false;
@@ -47,21 +47,21 @@
     return true;
 }
 
-void Mirror::put(const StoredRow &row)
+void TableReplica::put(const StoredRow &row)
 {
     lastChange_ = std::max(lastChange_, row.revision_);
     rows_[row.key_] = row;
     removedAt_.erase(row.key_);
 }
 
-void Mirror::remove(const std::string &key, Revision at)
+void TableReplica::remove(const std::string &key, Revision at)
 {
     lastChange_ = std::max(lastChange_, at);
     rows_.erase(key);
     removedAt_[key] = at;
 }
 
-std::optional<Revision> Mirror::removedAt(const std::string &key) const
+std::optional<Revision> TableReplica::removedAt(const std::string &key) const
 {
     const auto found = removedAt_.find(key);
     if (found == removedAt_.end())
@@ -69,7 +69,7 @@
     return found->second;
 }
 
-void Mirror::applyRow(const StoredRow &row)
+void TableReplica::applyRow(const StoredRow &row)
 {
     const auto held = rows_.find(row.key_);
     if (held != rows_.end() && held->second.revision_ >= row.revision_)
@@ -84,7 +84,7 @@
     }
 }
 
-void Mirror::apply(const StoredRows &changes)
+void TableReplica::apply(const StoredRows &changes)
 {
     for (const auto &row : changes.rows_)
         applyRow(row);
@@ -93,7 +93,7 @@
         forgetOldRemovals();
 }
 
-void Mirror::forgetOldRemovals()
+void TableReplica::forgetOldRemovals()
 {
     std::vector<Revision> revisions;
     for (const auto &[key, revision] : removedAt_)
@@ -106,7 +106,7 @@
     });
 }
 
-std::optional<StoredRows> Mirror::changesSince(Revision since) const
+std::optional<StoredRows> TableReplica::changesSince(Revision since) const
 {
     if (!isKnown_ || since < removalsKnownSince_)
         return std::nullopt;
@@ -123,7 +123,7 @@
     return changes;
 }
 
-StoredRows Mirror::snapshot() const
+StoredRows TableReplica::snapshot() const
 {
     StoredRows all;
     all.revision_ = knownRevision_;
--- a/Libraries/LibSteering/TableReplica.h
+++ b/Libraries/LibSteering/TableReplica.h
@@ -10,12 +10,12 @@
 /// A local replica of one table of the store, fed by the store and by peers.
 ///
 /// Thread safety: none.
-class Mirror
+class TableReplica
 {
 public:
     const std::map<std::string, Platform::StoredRow> &rows() const { return rows_; }
     /// The revision up to which rows() has every change.
-    Platform::Revision position() const { return knownRevision_; }
+    Platform::Revision knownRevision() const { return knownRevision_; }
     /// The revision of the last change in rows(). Unlike that revision it does not increase while
     /// only other tables change, so it shows which of two instances holds newer rows.
     Platform::Revision lastChange() const { return lastChange_; }
--- a/Libraries/LibSteering/TargetRegistry.cpp
+++ b/Libraries/LibSteering/TargetRegistry.cpp
@@ -7,21 +7,21 @@
 using Model::SteadyTime;
 using Observe::Event;
 
-TargetRegistry::TargetRegistry(const PlatformPort &port, const Knowledge &knowledge,
+TargetRegistry::TargetRegistry(const PlatformPort &port, const PlatformState &knowledge,
                        Observe::DecisionLog &log)
     : port_(port)
-    , knowledge_(knowledge)
+    , platformState_(knowledge)
     , log_(log)
 {
 }
 
 void TargetRegistry::update(SteadyTime now, const Policy::StoreEvidence &evidence)
 {
-    for (const auto &[key, row] : knowledge_.mirror(StoreTable::Targets).rows())
+    for (const auto &[key, row] : platformState_.replica(StoreTable::Targets).rows())
         applyRow(row, now);
     forgetRemovals(now);
     std::erase_if(unreadable_, [&](const auto &entry) {
-        return !knowledge_.mirror(StoreTable::Targets).rows().contains(entry.first);
+        return !platformState_.replica(StoreTable::Targets).rows().contains(entry.first);
     });
     noteMissing(now, evidence);
     findSuccessors();
@@ -178,7 +178,7 @@
 void TargetRegistry::resolveDomain(TargetState &target) const
 {
     target.hasKnownDomain_ = false;
-    const auto &table = knowledge_.table();
+    const auto &table = platformState_.table();
     if (!table)
         return;
     const auto &domains = table->domains();
@@ -210,14 +210,14 @@
     byShortName_.clear();
     domainSeeds_.clear();
     replacedCount_ = 0;
-    const auto &table = knowledge_.table();
+    const auto &table = platformState_.table();
     if (!table)
         return;
     for (const auto &domain : table->domains())
         domainSeeds_.push_back(Policy::seedOf(domain.id_.value()));
     for (const auto &[id, target] : targets_) {
         replacedCount_ += target->isReplaced_ ? 1 : 0;
-        const bool isDrained = knowledge_.drained().contains(target->record_.domain_);
+        const bool isDrained = platformState_.drained().contains(target->record_.domain_);
         if (!target->takesWork() || isDrained)
             continue;
         ServiceTargets &service = services_[target->record_.service_];
@@ -231,7 +231,7 @@
 
 Policy::HomeShares TargetRegistry::homesOf(const ServiceTargets &targets) const
 {
-    const auto &table = *knowledge_.table();
+    const auto &table = *platformState_.table();
     std::vector<Policy::DomainCapacity> capacities;
     for (std::size_t i = 0; i < table.domains().size(); ++i) {
         Policy::DomainCapacity capacity;
--- a/Libraries/LibSteering/TargetRegistry.h
+++ b/Libraries/LibSteering/TargetRegistry.h
@@ -118,7 +118,7 @@
 class TargetRegistry
 {
 public:
-    TargetRegistry(const PlatformPort &port, const Knowledge &knowledge, Observe::DecisionLog &log);
+    TargetRegistry(const PlatformPort &port, const PlatformState &knowledge, Observe::DecisionLog &log);
 
     /// Updates the registry from the platform state.
     void update(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
@@ -165,7 +165,7 @@
     Policy::HomeShares homesOf(const ServiceTargets &targets) const;
 
     const PlatformPort &port_;
-    const Knowledge &knowledge_;
+    const PlatformState &platformState_;
     Observe::DecisionLog &log_;
     std::map<Model::TargetId, std::shared_ptr<TargetState>> targets_;
     /// Rows that cannot be read, by key, so that each is logged once.
--- a/Libraries/LibSteering/TargetRemovals.cpp
+++ b/Libraries/LibSteering/TargetRemovals.cpp
@@ -45,7 +45,7 @@
         .add("target", target.record_.id_.value())
         .add("how", how)
         .add("revision", static_cast<std::int64_t>(revision.value()))
-        .add("by", knowledge_.targetsSource())
+        .add("by", platformState_.targetsSource())
         .add("in_progress", target.ownInFlight_)
         .add("last_request", last.request_)
         .add("sent_ms_ago", msSince(last.at_, now))
@@ -56,19 +56,19 @@
 
 void TargetRegistry::noteMissing(SteadyTime now, const Policy::StoreEvidence &evidence)
 {
-    const Mirror &mirror = knowledge_.mirror(StoreTable::Targets);
+    const TableReplica &replica = platformState_.replica(StoreTable::Targets);
     const auto unannounced
         = std::count_if(targets_.begin(), targets_.end(), [&](const auto &entry) {
               const auto &[id, target] = entry;
-              const bool isMissing = !mirror.rows().contains(id.value());
+              const bool isMissing = !replica.rows().contains(id.value());
               return isMissing && !target->record_.isLeaving_ && !target->removedRegistration_;
           });
     std::erase_if(targets_, [&](const auto &entry) {
         const auto &[id, target] = entry;
-        if (mirror.rows().contains(id.value()) || target->removedRegistration_)
+        if (replica.rows().contains(id.value()) || target->removedRegistration_)
             return false;
         Policy::RemovedRegistration removed;
-        removed.revision_ = mirror.removedAt(id.value()).value_or(mirror.position()).value();
+        removed.revision_ = replica.removedAt(id.value()).value_or(replica.knownRevision()).value();
         removed.noticedAt_ = removals_.try_emplace(id, now).first->second;
         removed.isSimultaneousRemoval_ = static_cast<std::size_t>(unannounced) >= Policy::minSimultaneousRemovals;
         const auto until = Policy::usableUntil(removed, evidence);
@@ -144,7 +144,7 @@
 {
     std::erase_if(removals_, [&](const auto &entry) {
         const auto &[id, noticedAt] = entry;
-        const bool isBack = knowledge_.mirror(StoreTable::Targets).rows().contains(id.value());
+        const bool isBack = platformState_.replica(StoreTable::Targets).rows().contains(id.value());
         return isBack || now - noticedAt > removalRetention;
     });
 }
--- a/Tests/LibSteering/FakePlatform.cpp
+++ b/Tests/LibSteering/FakePlatform.cpp
@@ -66,7 +66,7 @@
     Steering::PlatformPort port;
     port.decodeOperators_ = decodeOperators;
     port.decodeTarget_ = decodeTarget;
-    port.loadIn_ = [](const Http::Response &) {
+    port.parseLoad_ = [](const Http::Response &) {
         return std::optional<Steering::LoadReport>();
     };
     port.headers_ = {"Id", "Left", "Key", "Expect", "Not-Run"};
@@ -134,9 +134,9 @@
     : settings_(settings(domain))
     , port_(port())
     , log_(open("/dev/null", O_WRONLY | O_CLOEXEC))
-    , knowledge_(port_, settings_, log_)
-    , targetRegistry_(port_, knowledge_, log_)
-    , placementEngine_(settings_, knowledge_, targetRegistry_)
+    , platformState_(port_, settings_, log_)
+    , targetRegistry_(port_, platformState_, log_)
+    , placementEngine_(settings_, platformState_, targetRegistry_)
 {
 }
 
@@ -146,13 +146,13 @@
     std::vector<Platform::StoredRow> list = {row("table", operatorsText(version), revision)};
     for (const auto &domain : drained)
         list.push_back(row("drain " + domain, "", revision));
-    knowledge_.replace(Steering::StoreTable::Operators, rows(revision, list), "test");
+    platformState_.replace(Steering::StoreTable::Operators, rows(revision, list), "test");
     update();
 }
 
 void InstanceFixture::setTargetRows(std::uint64_t revision, std::vector<Platform::StoredRow> list)
 {
-    knowledge_.replace(Steering::StoreTable::Targets, rows(revision, std::move(list)), "test");
+    platformState_.replace(Steering::StoreTable::Targets, rows(revision, std::move(list)), "test");
     if (evidence_.own_.contact_ == Policy::StoreContact::Reached)
         evidence_.own_.targetsRead_ = revision;
     update();
@@ -175,7 +175,7 @@
                                         std::uint64_t object)
 {
     Steering::RequestContext requestContext;
-    requestContext.table_ = instance.knowledge_.table();
+    requestContext.table_ = instance.platformState_.table();
     requestContext.route_ = requestContext.table_->routes().find("h", "/" + route + "/x");
     requestContext.service_ = requestContext.route_->parts_.front().service_;
     requestContext.object_ = object;
--- a/Tests/LibSteering/FakePlatform.h
+++ b/Tests/LibSteering/FakePlatform.h
@@ -52,7 +52,7 @@
     Observe::Settings settings_;
     Steering::PlatformPort port_;
     Observe::DecisionLog log_;
-    Steering::Knowledge knowledge_;
+    Steering::PlatformState platformState_;
     Steering::TargetRegistry targetRegistry_;
     Steering::PlacementEngine placementEngine_;
     Model::SteadyTime now_{std::chrono::seconds(1000)};
--- a/Tests/LibSteering/TestDispatcher.cpp
+++ b/Tests/LibSteering/TestDispatcher.cpp
@@ -91,7 +91,7 @@
     Http::asio::io_context context_;
     InstanceFixture instance_{"r-a"};
     Steering::CrashGuard guard_{instance_.port_, instance_.log_};
-    Steering::Dispatcher dispatcher_{context_,       instance_.port_, instance_.knowledge_,
+    Steering::Dispatcher dispatcher_{context_,       instance_.port_, instance_.platformState_,
                                      instance_.placementEngine_, guard_,       instance_.log_};
     std::vector<std::unique_ptr<Http::Server>> servers_;
     std::map<std::string, Model::Address> addresses_;
--- a/Tests/LibSteering/TestPeers.cpp
+++ b/Tests/LibSteering/TestPeers.cpp
@@ -9,7 +9,7 @@
 using Platform::Revision;
 using Platform::StoredRow;
 using Platform::StoredRows;
-using Steering::Mirror;
+using Steering::TableReplica;
 using Steering::PeerMessage;
 
 StoredRow present(const std::string &key, std::uint64_t revision)
@@ -52,19 +52,19 @@
                 history.push_back(isRemoved ? removed(key, revision) : present(key, revision));
                 expected[key] = history.back();
             }
-            Mirror mirror;
-            mirror.replace(rows(0, {}));
+            TableReplica replica;
+            replica.replace(rows(0, {}));
             // Peers and the store send parts of the history, some twice, in any order.
             const int pieces = *rc::gen::inRange(1, 10);
             for (int i = 0; i < pieces; ++i) {
                 const auto from = static_cast<std::size_t>(*rc::gen::inRange(0, changes));
-                mirror.apply(rows(
+                replica.apply(rows(
                     from, {history.begin() + static_cast<std::ptrdiff_t>(from), history.end()}));
             }
-            mirror.apply(rows(static_cast<std::uint64_t>(changes), history));
+            replica.apply(rows(static_cast<std::uint64_t>(changes), history));
             for (const auto &[key, row] : expected) {
-                const auto held = mirror.rows().find(key);
-                RC_ASSERT((held != mirror.rows().end()) == row.value_.has_value());
+                const auto held = replica.rows().find(key);
+                RC_ASSERT((held != replica.rows().end()) == row.value_.has_value());
                 if (row.value_)
                     RC_ASSERT(held->second.revision_ == row.revision_);
             }
@@ -73,33 +73,33 @@
 
     void peersGetOnlyChangesWhereTheyAreKnown()
     {
-        Mirror mirror;
-        mirror.replace(rows(10, {present("a", 4), present("b", 9)}));
-        mirror.apply(rows(12, {removed("a", 12)}));
-        mirror.apply(rows(15, {present("c", 15)}));
-        const auto changes = mirror.changesSince(Revision(11));
+        TableReplica replica;
+        replica.replace(rows(10, {present("a", 4), present("b", 9)}));
+        replica.apply(rows(12, {removed("a", 12)}));
+        replica.apply(rows(15, {present("c", 15)}));
+        const auto changes = replica.changesSince(Revision(11));
         CPPUNIT_ASSERT(changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), changes->rows_.size());
-        Mirror peer;
+        TableReplica peer;
         peer.replace(rows(11, {present("a", 4), present("b", 9)}));
         peer.apply(*changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), peer.rows().size());
         CPPUNIT_ASSERT(!peer.rows().contains("a"));
         // Removals before the full read are not known.
-        CPPUNIT_ASSERT(!mirror.changesSince(Revision(9)));
+        CPPUNIT_ASSERT(!replica.changesSince(Revision(9)));
     }
 
     // Guards against using a target again that has left: a peer's answer from before the removal
     // arrives after it, and the removal is not remembered.
     void removalIsNotUndoneByAnOlderRow()
     {
-        Mirror mirror;
-        mirror.replace(rows(10, {present("a", 4)}));
-        mirror.apply(rows(20, {removed("a", 20)}));
-        mirror.apply(rows(15, {present("a", 15)}));
-        CPPUNIT_ASSERT(!mirror.rows().contains("a"));
-        mirror.apply(rows(21, {present("a", 21)}));
-        CPPUNIT_ASSERT(mirror.rows().contains("a"));
+        TableReplica replica;
+        replica.replace(rows(10, {present("a", 4)}));
+        replica.apply(rows(20, {removed("a", 20)}));
+        replica.apply(rows(15, {present("a", 15)}));
+        CPPUNIT_ASSERT(!replica.rows().contains("a"));
+        replica.apply(rows(21, {present("a", 21)}));
+        CPPUNIT_ASSERT(replica.rows().contains("a"));
     }
 
     // Guards against a hundred peers that fetch all rows, a megabyte each, from the few store
@@ -107,42 +107,42 @@
     // changes, and all rows are considered changed and earlier removals unknown.
     void fullReadCountsAsChanges()
     {
-        Mirror mirror;
-        mirror.replace(rows(10, {present("a", 4), present("b", 9)}));
-        mirror.replace(rows(20, {present("b", 9), present("c", 15)}));
-        CPPUNIT_ASSERT(!mirror.rows().contains("a"));
-        const auto changes = mirror.changesSince(Revision(10));
+        TableReplica replica;
+        replica.replace(rows(10, {present("a", 4), present("b", 9)}));
+        replica.replace(rows(20, {present("b", 9), present("c", 15)}));
+        CPPUNIT_ASSERT(!replica.rows().contains("a"));
+        const auto changes = replica.changesSince(Revision(10));
         CPPUNIT_ASSERT(changes);
         CPPUNIT_ASSERT_EQUAL(std::size_t(2), changes->rows_.size());
-        Mirror peer;
+        TableReplica peer;
         peer.replace(rows(10, {present("a", 4), present("b", 9)}));
         peer.apply(*changes);
         CPPUNIT_ASSERT(!peer.rows().contains("a"));
         CPPUNIT_ASSERT(peer.rows().contains("c"));
         // No changes: no peer is made to request rows.
-        const auto before = mirror.lastChange();
-        mirror.replace(rows(30, {present("b", 9), present("c", 15)}));
-        CPPUNIT_ASSERT(mirror.lastChange() == before);
+        const auto before = replica.lastChange();
+        replica.replace(rows(30, {present("b", 9), present("c", 15)}));
+        CPPUNIT_ASSERT(replica.lastChange() == before);
     }
 
     void revisionAdvancesWithoutAChange()
     {
-        Mirror mirror;
-        mirror.replace(rows(10, {present("a", 4)}));
-        mirror.apply(rows(30, {}));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(30), mirror.position().value());
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), mirror.lastChange().value());
+        TableReplica replica;
+        replica.replace(rows(10, {present("a", 4)}));
+        replica.apply(rows(30, {}));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(30), replica.knownRevision().value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(4), replica.lastChange().value());
     }
 
     void oldRemovalsAreForgotten()
     {
-        Mirror mirror;
-        mirror.replace(rows(0, {}));
+        TableReplica replica;
+        replica.replace(rows(0, {}));
         constexpr std::uint64_t count = 10000;
         for (std::uint64_t i = 1; i <= count; ++i)
-            mirror.apply(rows(i, {removed("k" + std::to_string(i), i)}));
-        CPPUNIT_ASSERT(!mirror.changesSince(Revision(1)));
-        const auto late = mirror.changesSince(Revision(count - 100));
+            replica.apply(rows(i, {removed("k" + std::to_string(i), i)}));
+        CPPUNIT_ASSERT(!replica.changesSince(Revision(1)));
+        const auto late = replica.changesSince(Revision(count - 100));
         CPPUNIT_ASSERT(late);
         CPPUNIT_ASSERT_EQUAL(std::size_t(100), late->rows_.size());
     }
--- a/Tests/LibSteering/TestPlacementEngine.cpp
+++ b/Tests/LibSteering/TestPlacementEngine.cpp
@@ -156,7 +156,7 @@
     {
         InstanceFixture instance("r-a");
         const std::string text = Fakes::operatorsText(3) + "home_regions = t\n";
-        instance.knowledge_.replace(Steering::StoreTable::Operators,
+        instance.platformState_.replace(Steering::StoreTable::Operators,
                                  Fakes::rows(1, {Fakes::row("table", text, 1)}), "test");
         std::vector<Platform::StoredRow> list;
         for (const char *domain : {"r-a", "s-a", "t-a"})
--- a/Tests/LibSteering/TestPlatformState.cpp
+++ b/Tests/LibSteering/TestPlatformState.cpp
@@ -54,20 +54,20 @@
         InstanceFixture instance("r-a");
         instance.setOperatorRows(7, 20);
         instance.setOperatorRows(5, 10);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.knowledge_.table()->version().value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.platformState_.table()->version().value());
         // A lower version in a newer row is also refused.
         instance.setOperatorRows(6, 30);
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.knowledge_.table()->version().value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.platformState_.table()->version().value());
     }
 
     void invalidTableKeepsThePreviousOneInForce()
     {
         InstanceFixture instance("r-a");
         instance.setOperatorRows(7, 20);
-        instance.knowledge_.replace(
+        instance.platformState_.replace(
             StoreTable::Operators,
             Fakes::rows(30, {Fakes::row("table", "version 8\n[route x]\nhost = h\n", 30)}), "test");
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.knowledge_.table()->version().value());
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), instance.platformState_.table()->version().value());
     }
 
     void peersSendNewerRows()
@@ -78,16 +78,16 @@
         InstanceFixture partitioned("r-b");
         partitioned.setOperatorRows(6, 12);
         const std::string encoded
-            = upToDate.knowledge_.encodeForPeer(partitioned.knowledge_.knownRevisions());
-        CPPUNIT_ASSERT(partitioned.knowledge_.applyFromPeer(encoded, "peer"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), partitioned.knowledge_.table()->version().value());
-        CPPUNIT_ASSERT(partitioned.knowledge_.drained().contains(Model::FailureDomainId("s-a")));
+            = upToDate.platformState_.encodeForPeer(partitioned.platformState_.knownRevisions());
+        CPPUNIT_ASSERT(partitioned.platformState_.applyFromPeer(encoded, "peer"));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), partitioned.platformState_.table()->version().value());
+        CPPUNIT_ASSERT(partitioned.platformState_.drained().contains(Model::FailureDomainId("s-a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t(4),
-                             partitioned.knowledge_.mirror(StoreTable::Targets).rows().size());
-        CPPUNIT_ASSERT(!partitioned.knowledge_.applyFromPeer(encoded, "peer"));
-        CPPUNIT_ASSERT(!partitioned.knowledge_.applyFromPeer("nonsense", "peer"));
+                             partitioned.platformState_.replica(StoreTable::Targets).rows().size());
+        CPPUNIT_ASSERT(!partitioned.platformState_.applyFromPeer(encoded, "peer"));
+        CPPUNIT_ASSERT(!partitioned.platformState_.applyFromPeer("nonsense", "peer"));
         CPPUNIT_ASSERT(
-            !partitioned.knowledge_.applyFromPeer(R"({"operators":{"rows":3}})", "peer"));
+            !partitioned.platformState_.applyFromPeer(R"({"operators":{"rows":3}})", "peer"));
     }
 
     // Guards against instances that crash one after the other, each when a peer requests its rows:
@@ -100,9 +100,9 @@
         list.push_back(Fakes::row("e", std::string("\xff\x00\xc3", 3), 21));
         upToDate.setTargetRows(21, list);
         InstanceFixture other("r-b");
-        CPPUNIT_ASSERT(other.knowledge_.applyFromPeer(
-            upToDate.knowledge_.encodeForPeer(other.knowledge_.knownRevisions()), "peer"));
-        const auto &rows = other.knowledge_.mirror(StoreTable::Targets).rows();
+        CPPUNIT_ASSERT(other.platformState_.applyFromPeer(
+            upToDate.platformState_.encodeForPeer(other.platformState_.knownRevisions()), "peer"));
+        const auto &rows = other.platformState_.replica(StoreTable::Targets).rows();
         CPPUNIT_ASSERT_EQUAL(std::size_t(5), rows.size());
         CPPUNIT_ASSERT_EQUAL(std::string("\xff\x00\xc3", 3), *rows.at("e").value_);
     }
@@ -114,8 +114,8 @@
     {
         const auto lastChanges = [](const InstanceFixture &instance) {
             return Steering::KnownRevisions{
-                instance.knowledge_.mirror(StoreTable::Operators).lastChange(),
-                instance.knowledge_.mirror(StoreTable::Targets).lastChange()};
+                instance.platformState_.replica(StoreTable::Operators).lastChange(),
+                instance.platformState_.replica(StoreTable::Targets).lastChange()};
         };
         InstanceFixture early("r-a");
         early.setOperatorRows(7, 20);
@@ -123,14 +123,14 @@
         InstanceFixture late("r-b");
         late.setOperatorRows(7, 20);
         late.setTargetRows(40, fourTargets());
-        CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
-        CPPUNIT_ASSERT(!late.knowledge_.isBehind(lastChanges(early)));
-        late.knowledge_.apply(StoreTable::Targets,
+        CPPUNIT_ASSERT(!early.platformState_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(!late.platformState_.isBehind(lastChanges(early)));
+        late.platformState_.apply(StoreTable::Targets,
                               Fakes::rows(45, {Fakes::target("e", "gauging", "r-a", 45)}), "test");
-        CPPUNIT_ASSERT(early.knowledge_.isBehind(lastChanges(late)));
-        CPPUNIT_ASSERT(early.knowledge_.applyFromPeer(
-            late.knowledge_.encodeForPeer(early.knowledge_.knownRevisions()), "peer"));
-        CPPUNIT_ASSERT(!early.knowledge_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(early.platformState_.isBehind(lastChanges(late)));
+        CPPUNIT_ASSERT(early.platformState_.applyFromPeer(
+            late.platformState_.encodeForPeer(early.platformState_.knownRevisions()), "peer"));
+        CPPUNIT_ASSERT(!early.platformState_.isBehind(lastChanges(late)));
     }
 
     // Guards against using a target again that has left: while a call waits at the store, a peer
@@ -143,7 +143,7 @@
         auto list = fourTargets();
         list[0] = Fakes::target("a", "gauging", "r-a", 40, "draining");
         instance.setTargetRows(40, list);
-        instance.knowledge_.apply(StoreTable::Targets,
+        instance.platformState_.apply(StoreTable::Targets,
                                Fakes::rows(30, {Fakes::target("a", "gauging", "r-a", 30)}), "test");
         instance.update();
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
@@ -267,9 +267,9 @@
     {
         InstanceFixture instance("r-a");
         const Steering::RemovalAges ages = {{"a", Milliseconds(70)}, {"b", Milliseconds(0)}};
-        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.knowledge_.encodeForPeer({}, ages))
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.platformState_.encodeForPeer({}, ages))
                        == ages);
-        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.knowledge_.encodeForPeer({})).empty());
+        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.platformState_.encodeForPeer({})).empty());
         CPPUNIT_ASSERT(Steering::parseRemovalAges("damaged").empty());
     }
 
--- a/Tests/Platform/TestTranslation.cpp
+++ b/Tests/Platform/TestTranslation.cpp
@@ -210,7 +210,7 @@
             = Adapter::termsFromText("graceS=4,ttl_max_s=3,budgetRatio=0.1, budgetExtra=32,"
                                      "maxShift=0.2,another=true,broken");
         CPPUNIT_ASSERT(terms.stopGrace_ == Milliseconds(4000));
-        CPPUNIT_ASSERT(terms.longestLookupLife_ == Milliseconds(3000));
+        CPPUNIT_ASSERT(terms.maxLookupTtl_ == Milliseconds(3000));
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.1, terms.retryShare_, 1e-9);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(32, terms.retryExtra_, 1e-9);
         CPPUNIT_ASSERT_DOUBLES_EQUAL(0.1, terms.regionShiftCap_.value(), 1e-9);
