--- a/Libraries/LibPeers/Gossip.cpp
+++ b/Libraries/LibPeers/Gossip.cpp
@@ -136,7 +136,7 @@
     return answer;
 }
 
-PullResult takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
+PullResult mergePullAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
                         Model::SteadyTime now)
 {
     PullResult result;
--- a/Libraries/LibPeers/Gossip.h
+++ b/Libraries/LibPeers/Gossip.h
@@ -43,7 +43,7 @@
 /// Merges a peer's answer. An invalid part is dropped whole, the rest is kept.
 ///
 /// Thread safety: none.
-PullResult takeInAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
+PullResult mergePullAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
                         Model::SteadyTime now);
 
 } // namespace Peers
--- a/Libraries/LibPeers/Members.cpp
+++ b/Libraries/LibPeers/Members.cpp
@@ -91,7 +91,7 @@
             continue;
         const bool isServing = record.isReady_ && record.entryVersion_ > Model::TableVersion(0);
         auto &group = record.instance_.isLeaving_ ? leaving : summary.contacts_;
-        if (isServing && group.size() < mostContacts)
+        if (isServing && group.size() < maxSummaryContacts)
             group.push_back(record.instance_);
         for (const auto &load : record.loads_) {
             DomainLoad &total = loads[{load.service_, load.domain_}];
--- a/Libraries/LibPeers/Members.h
+++ b/Libraries/LibPeers/Members.h
@@ -89,7 +89,7 @@
 /// A summary older than this is no longer used as evidence of capacity.
 constexpr Model::Milliseconds summaryLifetime{5000};
 /// Limit of the entries that a summary lists.
-constexpr std::size_t mostContacts = 8;
+constexpr std::size_t maxSummaryContacts = 8;
 
 /// Stores \a record if it is newer than the known one. Returns whether it was.
 ///
--- a/Libraries/LibPeers/ShareRamps.cpp
+++ b/Libraries/LibPeers/ShareRamps.cpp
@@ -17,7 +17,7 @@
     return ids;
 }
 
-const WalkedShares *findIn(const std::vector<WalkedShares> &all, const ShareWalks::Key &key)
+const WalkedShares *findIn(const std::vector<WalkedShares> &all, const ShareRamps::Key &key)
 {
     const auto found = std::find_if(all.begin(), all.end(), [&](const auto &walked) {
         return walked.service_ == key.first && walked.origin_ == key.second;
@@ -26,7 +26,7 @@
 }
 
 const WalkedShares *peerReportedShares(const InstanceView &view, const Model::Instance &own,
-                                       const ShareWalks::Key &key)
+                                       const ShareRamps::Key &key)
 {
     for (const auto &member : view.members_) {
         const auto *walked = findIn(member.walked_, key);
@@ -42,7 +42,7 @@
 }
 
 /// The indexes of the domains may differ between table versions, so shares are mapped by id.
-Policy::ShareVector remappedShares(const Model::Table &table, const ShareWalk &ramp)
+Policy::ShareVector remappedShares(const Model::Table &table, const ShareRamp &ramp)
 {
     std::vector<Model::DomainShare> named;
     for (std::size_t i = 0; i < ramp.domains_.size(); ++i)
@@ -52,7 +52,7 @@
 
 } // namespace
 
-Model::Milliseconds beginStep(ShareWalks &ramps, bool isStarting, Model::SteadyTime now)
+Model::Milliseconds beginRampStep(ShareRamps &ramps, bool isStarting, Model::SteadyTime now)
 {
     const bool isFirst = ramps.steppedAt_ == Model::SteadyTime();
     auto elapsed = isFirst
@@ -61,7 +61,7 @@
     // A process that was paused must neither make up for the pause in one jump nor lag the plan by
     // the length of the pause, so it restarts its ramps like a new process.
     if (isFirst || elapsed > maxStepDuration || isStarting || ramps.wasStarting_) {
-        ramps.walks_.clear();
+        ramps.ramps_.clear();
         elapsed = Model::Milliseconds(0);
         ramps.steppedAt_ = now;
     }
@@ -70,12 +70,12 @@
     return elapsed;
 }
 
-ShareWalk &walkFor(ShareWalks &ramps, const InstanceView &view, const Model::Instance &own,
-                   const ShareWalks::Key &key, const Policy::ShareVector &planned)
+ShareRamp &rampFor(ShareRamps &ramps, const InstanceView &view, const Model::Instance &own,
+                   const ShareRamps::Key &key, const Policy::ShareVector &planned)
 {
     const Model::Table &table = *view.table_;
-    const auto [found, isNew] = ramps.walks_.try_emplace(key);
-    ShareWalk &ramp = found->second;
+    const auto [found, isNew] = ramps.ramps_.try_emplace(key);
+    ShareRamp &ramp = found->second;
     if (!isNew && ramp.version_ == table.version())
         return ramp;
     if (isNew) {
--- a/Libraries/LibPeers/ShareRamps.h
+++ b/Libraries/LibPeers/ShareRamps.h
@@ -8,7 +8,7 @@
 namespace Peers {
 
 /// The current shares of one service and origin during a gradual shift to the planned ones.
-struct ShareWalk
+struct ShareRamp
 {
     Policy::ShareVector shares_;
     /// The version of the table whose domains the shares refer to, and the ids of these domains.
@@ -17,11 +17,11 @@
 };
 
 /// All ramps of one entry. Not shared between threads.
-struct ShareWalks
+struct ShareRamps
 {
     using Key = std::pair<Model::ServiceId, Model::RegionId>;
 
-    std::map<Key, ShareWalk> walks_;
+    std::map<Key, ShareRamp> ramps_;
     Model::SteadyTime steppedAt_;
     /// The state of the other regions was still unknown at the last step.
     bool wasStarting_ = true;
@@ -35,7 +35,7 @@
 /// region return in one jump, because the update that ends the start is often the first that has
 /// the current shares, and a ramp begun in an earlier step starts from the planned ones.
 /// Thread safety: \a ramps belongs to the calling thread.
-Model::Milliseconds beginStep(ShareWalks &ramps, bool isStarting, Model::SteadyTime now);
+Model::Milliseconds beginRampStep(ShareRamps &ramps, bool isStarting, Model::SteadyTime now);
 
 /// Returns the ramp of a service and origin. A new one begins at the shares that other entries
 /// report, or at \a planned if there are none.
@@ -44,7 +44,7 @@
 /// If the whole region recovers, only entries of other regions, which served its callers in the
 /// meantime, have the current shares. \a own is the local instance, whose own report is ignored.
 /// Precondition: \a view has a table. Thread safety: \a ramps belongs to the calling thread.
-ShareWalk &walkFor(ShareWalks &ramps, const InstanceView &view, const Model::Instance &own,
-                   const ShareWalks::Key &key, const Policy::ShareVector &planned);
+ShareRamp &rampFor(ShareRamps &ramps, const InstanceView &view, const Model::Instance &own,
+                   const ShareRamps::Key &key, const Policy::ShareVector &planned);
 
 } // namespace Peers
--- a/Services/Controld/ControlState.cpp
+++ b/Services/Controld/ControlState.cpp
@@ -181,7 +181,7 @@
 void ControlState::onPullAnswer(const cassiacrank::PullAnswer &answer)
 {
     const std::lock_guard lock(mutex_);
-    const auto result = Peers::takeInAnswer(gossip_, answer, steadyNow());
+    const auto result = Peers::mergePullAnswer(gossip_, answer, steadyNow());
     if (!result.responder_)
         return;
     start_.peersAnswered_ = true;
--- a/Services/Entryd/Planner.cpp
+++ b/Services/Entryd/Planner.cpp
@@ -84,7 +84,7 @@
 void Planner::onSnapshot(const cassiacrank::Snapshot &snapshot)
 {
     const std::lock_guard lock(mutex_);
-    const auto change = Peers::takeIn(receivedView_, snapshot);
+    const auto change = Peers::applySnapshot(receivedView_, snapshot);
     hasReceivedView_ = true;
     if (change.tableChanged_)
         changed_.notify_all();
@@ -157,7 +157,7 @@
 {
     if (!view_.table_)
         return;
-    const auto elapsed = Peers::beginStep(shareRamps_, view_.isStarting_, steadyNow());
+    const auto elapsed = Peers::beginRampStep(shareRamps_, view_.isStarting_, steadyNow());
     auto snapshot = makeSnapshot(elapsed);
     isReady_ = snapshot->isReady_;
     takesCallers_ = snapshot->takesCallers_;
@@ -281,8 +281,8 @@
     const bool isAnyOut = std::any_of(outage.isOut_.begin(), outage.isOut_.end(), [](bool isOut) {
         return isOut;
     });
-    Peers::ShareWalk &ramp
-        = Peers::walkFor(shareRamps_, view_, localInstance(), {service.id_, origin}, planned);
+    Peers::ShareRamp &ramp
+        = Peers::rampFor(shareRamps_, view_, localInstance(), {service.id_, origin}, planned);
     const auto aim = Policy::goalShares(table, service.id_, origin, now, outage);
     const auto goal = isAnyOut ? aim : planned;
     ramp.shares_ = Policy::movedShares(table, ramp.shares_, goal, caps, elapsed);
--- a/Services/Entryd/Planner.h
+++ b/Services/Entryd/Planner.h
@@ -80,7 +80,7 @@
     /// Owned by the planner thread; statusText() takes the lock to read them.
     Peers::InstanceView view_;
     std::map<Model::TargetId, std::shared_ptr<TargetState>> targets_;
-    Peers::ShareWalks shareRamps_;
+    Peers::ShareRamps shareRamps_;
     std::map<std::pair<Model::ServiceId, Model::FailureDomainId>, bool> loggedOutages_;
     Model::SteadyTime reportedAt_;
     /// The fields of a report whose change is reported immediately.
--- a/Services/Entryd/PlannerReports.cpp
+++ b/Services/Entryd/PlannerReports.cpp
@@ -58,7 +58,7 @@
     if (!view_.table_)
         return report;
     const auto now = std::chrono::time_point_cast<Milliseconds>(std::chrono::system_clock::now());
-    for (const auto &[key, ramp] : shareRamps_.walks_) {
+    for (const auto &[key, ramp] : shareRamps_.ramps_) {
         const auto planned = Policy::plannedShares(*view_.table_, key.first, key.second, now);
         if (areNotablyApart(planned, ramp.shares_)) {
             *report.add_walked() = Peers::toMessage(
@@ -75,7 +75,7 @@
     json shares = json::array();
     json targets = json::array();
     if (view_.table_) {
-        for (const auto &[key, ramp] : shareRamps_.walks_) {
+        for (const auto &[key, ramp] : shareRamps_.ramps_) {
             json byDomain = json::object();
             for (const auto &share : Policy::namedShares(*view_.table_, ramp.shares_))
                 byDomain[share.domain_.value()] = share.share_.value();
--- a/Tests/LibPeers/TestGossip.cpp
+++ b/Tests/LibPeers/TestGossip.cpp
@@ -25,7 +25,7 @@
 {
     const bool isSame = requester.self_.instance_.region_ == responder.self_.instance_.region_;
     const auto answer = Peers::answerPull(responder, Peers::makePull(requester, isSame, now), now);
-    Peers::takeInAnswer(requester, answer, now);
+    Peers::mergePullAnswer(requester, answer, now);
 }
 
 class TestGossip : public CppUnit::TestFixture
@@ -207,7 +207,7 @@
         answer.mutable_delta()->set_version(9);
         answer.mutable_delta()->add_rows()->set_key("nonsense");
         answer.add_records()->mutable_instance()->set_id("x");
-        const auto result = Peers::takeInAnswer(state, answer, SteadyTime());
+        const auto result = Peers::mergePullAnswer(state, answer, SteadyTime());
         CPPUNIT_ASSERT(!result.tableChanged_ && !result.liveChanged_);
         CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), state.table_.version_.value());
     }
--- a/Tests/LibPeers/TestShareRamps.cpp
+++ b/Tests/LibPeers/TestShareRamps.cpp
@@ -6,7 +6,7 @@
 using Model::Milliseconds;
 using Model::SteadyTime;
 
-const Peers::ShareWalks::Key key{Model::ServiceId("s"), Model::RegionId("r1")};
+const Peers::ShareRamps::Key key{Model::ServiceId("s"), Model::RegionId("r1")};
 
 Model::Row row(Model::RowKind kind, const std::string &name,
                std::map<std::string, std::string> cells)
@@ -75,21 +75,21 @@
     {
         Peers::InstanceView view;
         view.table_ = twoRegions();
-        Peers::ShareWalks ramps;
-        Peers::beginStep(ramps, true, start);
-        Peers::walkFor(ramps, view, ownInstance(), key, allLocal_);
+        Peers::ShareRamps ramps;
+        Peers::beginRampStep(ramps, true, start);
+        Peers::rampFor(ramps, view, ownInstance(), key, allLocal_);
 
         view.summaries_.push_back(summaryServedRemotely());
-        const auto elapsed = Peers::beginStep(ramps, false, start + Milliseconds(50));
-        const auto &ramp = Peers::walkFor(ramps, view, ownInstance(), key, allLocal_);
+        const auto elapsed = Peers::beginRampStep(ramps, false, start + Milliseconds(50));
+        const auto &ramp = Peers::rampFor(ramps, view, ownInstance(), key, allLocal_);
         CPPUNIT_ASSERT(ramp.shares_ == allRemote_);
         CPPUNIT_ASSERT(elapsed == Milliseconds(0));
 
         // Later steps continue the entry's own ramp.
         view.summaries_.clear();
-        const auto next = Peers::beginStep(ramps, false, start + Milliseconds(100));
+        const auto next = Peers::beginRampStep(ramps, false, start + Milliseconds(100));
         CPPUNIT_ASSERT(next == Milliseconds(50));
-        CPPUNIT_ASSERT(Peers::walkFor(ramps, view, ownInstance(), key, allLocal_).shares_
+        CPPUNIT_ASSERT(Peers::rampFor(ramps, view, ownInstance(), key, allLocal_).shares_
                        == allRemote_);
     }
 
@@ -101,15 +101,15 @@
         record.instance_ = ownInstance();
         record.walked_ = summaryServedRemotely().walked_;
         view.members_.push_back(record);
-        Peers::ShareWalks ramps;
-        Peers::beginStep(ramps, false, start);
-        CPPUNIT_ASSERT(Peers::walkFor(ramps, view, ownInstance(), key, allLocal_).shares_
+        Peers::ShareRamps ramps;
+        Peers::beginRampStep(ramps, false, start);
+        CPPUNIT_ASSERT(Peers::rampFor(ramps, view, ownInstance(), key, allLocal_).shares_
                        == allLocal_);
         // The report of a peer in the region counts, before that of another region.
         view.members_[0].instance_.id_ = Model::InstanceId("r1-2");
         ramps = {};
-        Peers::beginStep(ramps, false, start);
-        CPPUNIT_ASSERT(Peers::walkFor(ramps, view, ownInstance(), key, allLocal_).shares_
+        Peers::beginRampStep(ramps, false, start);
+        CPPUNIT_ASSERT(Peers::rampFor(ramps, view, ownInstance(), key, allLocal_).shares_
                        == allRemote_);
     }
 
@@ -119,12 +119,12 @@
     {
         Peers::InstanceView view;
         view.table_ = twoRegions();
-        Peers::ShareWalks ramps;
-        Peers::beginStep(ramps, false, start);
-        Peers::walkFor(ramps, view, ownInstance(), key, allLocal_).shares_ = {{0.5, 0.5}};
-        const auto elapsed = Peers::beginStep(ramps, false, start + Milliseconds(3000));
+        Peers::ShareRamps ramps;
+        Peers::beginRampStep(ramps, false, start);
+        Peers::rampFor(ramps, view, ownInstance(), key, allLocal_).shares_ = {{0.5, 0.5}};
+        const auto elapsed = Peers::beginRampStep(ramps, false, start + Milliseconds(3000));
         CPPUNIT_ASSERT(elapsed == Milliseconds(0));
-        CPPUNIT_ASSERT(Peers::walkFor(ramps, view, ownInstance(), key, allLocal_).shares_
+        CPPUNIT_ASSERT(Peers::rampFor(ramps, view, ownInstance(), key, allLocal_).shares_
                        == allLocal_);
     }
 
@@ -132,9 +132,9 @@
     {
         Peers::InstanceView view;
         view.table_ = twoRegions();
-        Peers::ShareWalks ramps;
-        Peers::beginStep(ramps, false, start);
-        Peers::walkFor(ramps, view, ownInstance(), key, allRemote_);
+        Peers::ShareRamps ramps;
+        Peers::beginRampStep(ramps, false, start);
+        Peers::rampFor(ramps, view, ownInstance(), key, allRemote_);
         std::vector<Model::Row> rows;
         rows.push_back(row(Model::RowKind::Service, "s", {}));
         for (const std::string region : {"r0", "r1", "r2"}) {
@@ -144,7 +144,7 @@
         auto table = Model::Table::build(Model::TableVersion(2), std::move(rows), {});
         CPPUNIT_ASSERT(table);
         view.table_ = std::make_shared<const Model::Table>(std::move(*table));
-        const auto &ramp = Peers::walkFor(ramps, view, ownInstance(), key, allLocal_);
+        const auto &ramp = Peers::rampFor(ramps, view, ownInstance(), key, allLocal_);
         CPPUNIT_ASSERT(ramp.shares_ == (Policy::ShareVector{{0, 0, 1}}));
     }
 };
--- a/Tests/Slopes/LargeSite.cpp
+++ b/Tests/Slopes/LargeSite.cpp
@@ -157,17 +157,17 @@
     state.self_ = recordOf(size, 0);
     const Model::SteadyTime now;
     for (int i = 1; i <= members; ++i)
-        Peers::takeIn(state.members_, recordOf(size, i), now);
+        Peers::mergeIfNewer(state.members_, recordOf(size, i), now);
     for (int region = 0; region < size.regions_; ++region) {
         Peers::RegionSummary summary;
         summary.region_ = Model::RegionId(regionName(region));
         summary.madeAt_ = Model::WallTime(Model::Milliseconds(1));
         summary.loads_ = loadsOf(size);
-        for (std::size_t i = 0; i < Peers::mostContacts; ++i) {
+        for (std::size_t i = 0; i < Peers::maxSummaryContacts; ++i) {
             const std::string id = "contact-" + std::to_string(region) + "-" + std::to_string(i);
             summary.contacts_.push_back(instanceOf(id, regionName(region), domainName(region)));
         }
-        Peers::takeIn(state.members_, summary, now);
+        Peers::mergeIfNewer(state.members_, summary, now);
     }
     state.table_ = replicaOf(size);
     return state;
--- a/Tests/Slopes/Slopes.cpp
+++ b/Tests/Slopes/Slopes.cpp
@@ -148,7 +148,7 @@
         cassiacrank::TableDelta message;
         message.ParseFromString(wire);
         Platform::TableMirror copy;
-        Platform::takeIn(copy, *Peers::fromMessage(message));
+        Platform::applyDelta(copy, *Peers::fromMessage(message));
         benchmark::DoNotOptimize(Platform::buildTable(copy));
         bytes = wire.size();
     }
@@ -171,7 +171,7 @@
             member.record_.heartbeat_ += static_cast<std::uint64_t>(number++ % 2);
         const auto request = Peers::makePull(asker, true, {});
         const auto answer = Peers::answerPull(asked, request, {});
-        Peers::takeInAnswer(asker, answer, {});
+        Peers::mergePullAnswer(asker, answer, {});
         bytes = request.ByteSizeLong() + answer.ByteSizeLong();
     }
     state.counters["bytes"] = static_cast<double>(bytes);
@@ -191,7 +191,7 @@
             summary.madeAt_ += Model::Milliseconds(1);
         const auto request = Peers::makePull(asker, false, {});
         const auto answer = Peers::answerPull(asked, request, {});
-        Peers::takeInAnswer(asker, answer, {});
+        Peers::mergePullAnswer(asker, answer, {});
         bytes = request.ByteSizeLong() + answer.ByteSizeLong();
     }
     state.counters["bytes"] = static_cast<double>(bytes);
