--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -182,8 +182,8 @@
                                 const Request &request, const AnswerCheck &isOwnAnswer)
 {
     connection.stream_.expires_at(options.deadline_);
-    if (options.sends_)
-        options.sends_();
+    if (options.onFirstByte_)
+        options.onFirstByte_();
     if (auto unsent = co_await sendRequest(connection, options, request))
         co_return std::move(*unsent);
     int foreign = 0;
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -59,7 +59,7 @@
     Model::Milliseconds watchPeriod_{100};
     Model::Milliseconds sendPatience_{200};
     /// Called just before the first byte is sent, after maySend_.
-    std::function<void()> sends_;
+    std::function<void()> onFirstByte_;
 };
 
 struct ExchangeResult
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -204,7 +204,7 @@
     };
     options.watchPeriod_ = Policy::tickPeriod;
     options.sendPatience_ = Policy::sendToLeavingTimeout;
-    options.sends_ = [&] {
+    options.onFirstByte_ = [&] {
         noteSend(request, target);
     };
 
@@ -226,7 +226,7 @@
         if (result.connectTook_ >= slowConnectThreshold && !target.isConnecting_) {
             options.control_ = nullptr;
             options.maySend_ = nullptr;
-            options.sends_ = nullptr;
+            options.onFirstByte_ = nullptr;
             options.deadline_ = now + options.connectTimeout_;
             Http::asio::co_spawn(context_, openIdleConnection(placement.target_, options),
                                  Http::asio::detached);
--- a/Services/Entryd/Attempts.cpp
+++ b/Services/Entryd/Attempts.cpp
@@ -88,7 +88,7 @@
     };
     options.watchPeriod_ = Policy::tickPeriod;
     options.sendPatience_ = Policy::sendToLeavingTimeout;
-    options.sends_ = [&] {
+    options.onFirstByte_ = [&] {
         noteSend(*target, steadyNow());
     };
     const auto sentAt = steadyNow();
