--- a/Tests/Harness/Samples.cpp
+++ b/Tests/Harness/Samples.cpp
@@ -41,7 +41,7 @@
 {
     return static_cast<std::size_t>(
         std::count_if(lines.begin(), lines.end(), [&](const auto &line) {
-            return line.told_ == outcome;
+            return line.outcome_ == outcome;
         }));
 }
 
@@ -51,9 +51,9 @@
     std::ostringstream text;
     int shown = 0;
     for (const auto &line : lines) {
-        if (line.told_ == "run" || ++shown > maxShown)
+        if (line.outcome_ == "run" || ++shown > maxShown)
             continue;
-        text << line.stream_ << " sent=" << line.sentSeconds_ << " told=" << line.told_
+        text << line.stream_ << " sent=" << line.sentSeconds_ << " told=" << line.outcome_
              << " code=" << line.code_ << " entry=" << line.entry_ << " sends=" << line.sends_
              << " ms=" << line.latencyMs_ << " late_ms=" << line.lateMs_ << "\n";
     }
@@ -64,7 +64,7 @@
 {
     std::vector<double> latencies;
     for (const auto &line : lines) {
-        if (line.told_ == "run")
+        if (line.outcome_ == "run")
             latencies.push_back(line.latencyMs_);
     }
     if (latencies.empty())
@@ -82,7 +82,7 @@
     for (const auto &line : lines) {
         if (line.sentSeconds_ < fromSeconds || line.sentSeconds_ >= untilSeconds)
             continue;
-        if (line.told_ != "run")
+        if (line.outcome_ != "run")
             continue;
         for (const auto &target : table.targets()) {
             if (target.id_.value() != line.target_)
--- a/Tests/Harness/Samples.h
+++ b/Tests/Harness/Samples.h
@@ -14,7 +14,7 @@
     std::string token_;
     double sentSeconds_ = 0;
     double latencyMs_ = 0;
-    std::string told_;
+    std::string outcome_;
     int code_ = 0;
     int sends_ = 0;
     std::string target_;
--- a/Tests/Integration/TestOverload.cpp
+++ b/Tests/Integration/TestOverload.cpp
@@ -87,8 +87,8 @@
             double answered = 0;
             std::vector<double> refusals;
             for (const auto &line : playInParts(site, name, factor)) {
-                answered += line.told_ == "run" && line.sentSeconds_ >= 2 ? 1 : 0;
-                if (line.told_ != "not-run")
+                answered += line.outcome_ == "run" && line.sentSeconds_ >= 2 ? 1 : 0;
+                if (line.outcome_ != "not-run")
                     continue;
                 refusals.push_back(line.latencyMs_);
                 // The queue limit of the service is 200 ms.
--- a/Tests/Integration/TestShifts.cpp
+++ b/Tests/Integration/TestShifts.cpp
@@ -47,7 +47,7 @@
         if (line.sentSeconds_ < from || line.sentSeconds_ >= until)
             continue;
         sent += 1;
-        served += line.told_ == "run" ? 1 : 0;
+        served += line.outcome_ == "run" ? 1 : 0;
     }
     return served / sent;
 }
@@ -171,7 +171,7 @@
                 if (line.sentSeconds_ < from || line.sentSeconds_ >= from + 1)
                     continue;
                 sent += 1;
-                served += line.told_ == "run" ? 1 : 0;
+                served += line.outcome_ == "run" ? 1 : 0;
             }
             return served / sent;
         };
@@ -180,7 +180,7 @@
         const double late = servedShare(10.5);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(late), late > 0.99);
         for (const auto &line : result.samples_) {
-            if (line.told_ == "not-run")
+            if (line.outcome_ == "not-run")
                 CPPUNIT_ASSERT_MESSAGE(line.token_ + " held back", line.latencyMs_ < 500);
         }
     }
@@ -249,7 +249,7 @@
             const auto count = std::count_if(
                 result.samples_.begin(), result.samples_.end(), [&](const auto &line) {
                     return line.sentSeconds_ >= from && line.sentSeconds_ < from + 1
-                           && line.told_ == "run";
+                           && line.outcome_ == "run";
                 });
             series += "\n" + std::to_string(from) + " s: " + std::to_string(count)
                       + " answered, share " + std::to_string(shareAt(from));
--- a/Tests/Measure/Scenarios.cpp
+++ b/Tests/Measure/Scenarios.cpp
@@ -83,7 +83,7 @@
     scenario.measure_ = [](Site &, const std::vector<SampleLine> &samples) {
         double slowest = 0;
         for (const auto &line : samples) {
-            if (line.told_ == "not-run")
+            if (line.outcome_ == "not-run")
                 slowest = std::max(slowest, line.latencyMs_);
         }
         print("refusal_max", slowest, "ms");
--- a/Tests/Measure/SingleRuns.cpp
+++ b/Tests/Measure/SingleRuns.cpp
@@ -66,7 +66,7 @@
     std::vector<double> waits;
     for (const auto &line : samples) {
         arrivals.push_back(line.sentSeconds_ * 1000);
-        if (line.told_ == "run")
+        if (line.outcome_ == "run")
             waits.push_back(line.latencyMs_ - serviceMs);
     }
     const auto single = Harness::singleQueueWaits(arrivals, example.carefulSlots_, serviceMs);
