--- a/Tests/Platform/Fleet.cpp
+++ b/Tests/Platform/Fleet.cpp
@@ -135,7 +135,7 @@
 {
     targets_.push_back(std::make_unique<Target>("127.0.0.1", id));
     Target &target = *targets_.back();
-    target.setBack([this, &target, zone](const std::string &earlier) {
+    target.setRestartCallback([this, &target, zone](const std::string &earlier) {
         store_.remove("servers", earlier);
         registerTarget(target, zone);
     });
--- a/Tests/Platform/StandIns.cpp
+++ b/Tests/Platform/StandIns.cpp
@@ -118,7 +118,7 @@
 {
     const std::lock_guard lock(mutex_);
     faults_ = faults;
-    if (faults.hasForgotten_)
+    if (faults.hasDiscardedHistory_)
         forgottenBefore_ = ++revision_;
     if (faults.isSilent_)
         ++silences_;
@@ -267,7 +267,7 @@
     changed_.notify_all();
 }
 
-void Target::setBack(std::function<void(const std::string &)> onRestart)
+void Target::setRestartCallback(std::function<void(const std::string &)> onRestart)
 {
     const std::lock_guard lock(mutex_);
     onRestart_ = std::move(onRestart);
@@ -302,7 +302,7 @@
         lock.lock();
         if (!isKilled)
             ends_.push_back({std::chrono::steady_clock::now(), crashPath_});
-        waitUntil(std::chrono::steady_clock::now() + faults_.backAfter_);
+        waitUntil(std::chrono::steady_clock::now() + faults_.restartDelay_);
         if (isStopping_)
             return;
         const std::string earlier = std::exchange(id_, id_ + "." + std::to_string(++run_));
@@ -392,8 +392,8 @@
         }
         ++runs_[id];
         requests_.push_back(request);
-        arrivals_.push_back({incoming.arrivedAt_, id_, id, std::string(request[throughHeader])});
-        isEnding = !faults.endsUnder_.empty() && request.target().starts_with(faults.endsUnder_);
+        arrivals_.push_back({incoming.arrivedAt_, id_, id, std::string(request[viaEntryHeader])});
+        isEnding = !faults.crashPathPrefix_.empty() && request.target().starts_with(faults.crashPathPrefix_);
         if (isEnding && !endAt_) {
             endAt_ = std::chrono::steady_clock::now() + faults.crashDelay_;
             crashPath_ = std::string(request.target());
--- a/Tests/Platform/StandIns.h
+++ b/Tests/Platform/StandIns.h
@@ -49,7 +49,7 @@
     /// Never answers calls that arrive or wait in this state, and does not perform new ones.
     bool isSilent_ = false;
     /// Answers 410 to calls that request changes since a revision before the present one.
-    bool hasForgotten_ = false;
+    bool hasDiscardedHistory_ = false;
 };
 
 /// A stand-in for the platform's store: rows with revisions, conditional writes, a change feed and
@@ -111,10 +111,10 @@
     bool isForeign_ = false;
     Model::Milliseconds work_{5};
     /// Crashes after it begins to run a request whose path has this prefix. Empty: never crashes.
-    std::string endsUnder_;
+    std::string crashPathPrefix_;
     Model::Milliseconds crashDelay_{20};
     /// Time until a new incarnation starts at the same address.
-    Model::Milliseconds backAfter_{1500};
+    Model::Milliseconds restartDelay_{1500};
 };
 
 /// A crash of a target's incarnation while it ran a request.
@@ -133,11 +133,11 @@
     std::string run_;
     std::string request_;
     /// The entry that forwarded the request, if the caller named it.
-    std::string through_;
+    std::string viaEntry_;
 };
 
 /// The header in which callers of a soak test name the entry they use. Instances forward it.
-constexpr const char *throughHeader = "X-Through";
+constexpr const char *viaEntryHeader = "X-Through";
 
 /// A stand-in for a target of the platform: runs requests, counts them by id, and refuses those
 /// that expect another incarnation.
@@ -157,7 +157,7 @@
     void kill();
     /// Sets the callback for restarts. It runs on the target's own thread when a new incarnation
     /// serves, with the id of the previous incarnation.
-    void setBack(std::function<void(const std::string &earlier)> onRestart);
+    void setRestartCallback(std::function<void(const std::string &earlier)> onRestart);
     /// Returns the crashes of its incarnations, without those by kill().
     std::vector<TargetEnd> ends();
     /// Returns the target's registration as stored.
--- a/Tests/Platform/TestCrashes.cpp
+++ b/Tests/Platform/TestCrashes.cpp
@@ -42,7 +42,7 @@
         CPPUNIT_ASSERT(
             fleet.serve(instances, {"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8", "t9", "t10"}));
         for (const auto &target : fleet.targets_)
-            target->setFaults({.endsUnder_ = path});
+            target->setFaults({.crashPathPrefix_ = path});
     }
 
     /// Returns when targets crashed under requests, in order of time.
@@ -170,7 +170,7 @@
         Fleet fleet;
         serveWith(fleet, 4, "/read/poison");
         for (const auto &target : fleet.targets_)
-            target->setFaults({.work_ = Milliseconds(60), .endsUnder_ = "/read/poison"});
+            target->setFaults({.work_ = Milliseconds(60), .crashPathPrefix_ = "/read/poison"});
         const auto until = std::chrono::steady_clock::now() + Milliseconds(8000);
         std::atomic<int> sent{0};
         std::atomic<int> served{0};
@@ -286,7 +286,7 @@
         Fleet fleet;
         serveWith(fleet, 4, "");
         for (const auto &target : fleet.targets_)
-            target->setFaults({.work_ = Milliseconds(250), .backAfter_ = Milliseconds(500)});
+            target->setFaults({.work_ = Milliseconds(250), .restartDelay_ = Milliseconds(500)});
         const auto until = std::chrono::steady_clock::now() + Milliseconds(6000);
         std::vector<std::thread> callers;
         for (std::size_t i = 0; i < 8; ++i) {
@@ -316,7 +316,7 @@
         Fleet fleet;
         serveWith(fleet, 2, "");
         for (const auto &target : fleet.targets_)
-            target->setFaults({.work_ = Milliseconds(300), .backAfter_ = Milliseconds(500)});
+            target->setFaults({.work_ = Milliseconds(300), .restartDelay_ = Milliseconds(500)});
         std::atomic<bool> isOver{false};
         std::thread caller([&] {
             for (int i = 0; !isOver; ++i) {
--- a/Tests/Platform/TestOnPlatform.cpp
+++ b/Tests/Platform/TestOnPlatform.cpp
@@ -369,7 +369,7 @@
         CPPUNIT_ASSERT(fleet.serve(1, {"t1", "t2"}));
         auto &removedTarget = *fleet.targets_[0];
         StoreFaults forgetful;
-        forgetful.hasForgotten_ = true;
+        forgetful.hasDiscardedHistory_ = true;
         fleet.store_.setFaults(forgetful);
         fleet.store_.remove("servers", removedTarget.id());
         fleet.configure(3, "added");
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -139,7 +139,7 @@
         request.target(poisonPath);
     request.set(http::field::host, "h.example");
     request.set("X-Cassiacrank-Request-Id", id);
-    request.set(PlatformStandIns::throughHeader, toText(entry));
+    request.set(PlatformStandIns::viaEntryHeader, toText(entry));
     request.set("X-Cassiacrank-Affinity-Key", std::to_string(random_() % objects));
     request.set("X-Cassiacrank-Deadline-Ms", std::to_string(requestTimeout.count()));
     request.prepare_payload();
--- a/Tests/Soak/Promises.cpp
+++ b/Tests/Soak/Promises.cpp
@@ -171,13 +171,13 @@
 void Promises::checkArrival(const PlatformStandIns::Arrival &arrival, std::size_t target)
 {
     const auto left = site_.leftAt().find(arrival.run_);
-    const auto through = Model::addressFromText(arrival.through_);
+    const auto through = Model::addressFromText(arrival.viaEntry_);
     if (left == site_.leftAt().end() || !through
         || !isBoundBy(*through, left->second, arrival.at_, target))
         return;
     const auto after = std::chrono::duration_cast<Milliseconds>(arrival.at_ - left->second);
     reportBroken(Promise::LeavingTargets,
-                 arrival.request_ + " reached " + arrival.run_ + " through " + arrival.through_
+                 arrival.request_ + " reached " + arrival.run_ + " through " + arrival.viaEntry_
                      + " " + std::to_string(after.count()) + " ms after its leave");
 }
 
--- a/Tests/Soak/SoakSite.cpp
+++ b/Tests/Soak/SoakSite.cpp
@@ -43,8 +43,8 @@
 
 TargetFaults withEnds(TargetFaults faults)
 {
-    faults.endsUnder_ = poisonPathPrefix;
-    faults.backAfter_ = backAfter;
+    faults.crashPathPrefix_ = poisonPathPrefix;
+    faults.restartDelay_ = backAfter;
     return faults;
 }
 
@@ -116,7 +116,7 @@
         fleet_.targets_.push_back(std::make_unique<PlatformStandIns::Target>(
             "127.0.0.1", "t" + std::to_string(++lastIncarnation_)));
         fleet_.targets_.back()->setFaults(withEnds({}));
-        fleet_.targets_.back()->setBack([this, i](const std::string &earlier) {
+        fleet_.targets_.back()->setRestartCallback([this, i](const std::string &earlier) {
             registerTarget(i, "ready");
             fleet_.store_.remove("servers", earlier);
         });
@@ -342,7 +342,7 @@
     case StoreLosesAnswers:
         return setStoreFaults({.losesAnswers_ = true}, 1);
     case StoreForgets:
-        return setStoreFaults({.hasForgotten_ = true}, 1);
+        return setStoreFaults({.hasDiscardedHistory_ = true}, 1);
     case StoreWay:
         disturb(subject, 1);
         return switchWays("store-" + number, mode);
