--- a/Libraries/LibModel/Table.cpp
+++ b/Libraries/LibModel/Table.cpp
@@ -136,8 +136,8 @@
     route.id_ = RouteId(row.key_.name_);
     route.host_ = cellOrDefault(row, "host");
     route.prefix_ = cellOrDefault(row, "prefix");
-    route.splits_
-        = weightedSplitsFromText(cellOrDefault(row, "services")).value_or(std::vector<WeightedSplit>());
+    route.splits_ = weightedSplitsFromText(cellOrDefault(row, "services"))
+                        .value_or(std::vector<WeightedSplit>());
     route.isIdempotent_ = cellOrDefault(row, "idempotent") == "yes";
     route.timeout_ = Milliseconds(std::stoll(cellOrDefault(row, "timeout_ms")));
     route.latencyGoal_ = Milliseconds(std::stoll(cellOrDefault(row, "latency_goal_ms")));
--- a/Libraries/LibPeers/Gossip.cpp
+++ b/Libraries/LibPeers/Gossip.cpp
@@ -137,7 +137,7 @@
 }
 
 PullResult mergePullAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
-                        Model::SteadyTime now)
+                           Model::SteadyTime now)
 {
     PullResult result;
     result.responder_ = fromMessage(answer.responder());
--- a/Libraries/LibPeers/Gossip.h
+++ b/Libraries/LibPeers/Gossip.h
@@ -44,6 +44,6 @@
 ///
 /// Thread safety: none.
 PullResult mergePullAnswer(GossipState &state, const cassiacrank::PullAnswer &answer,
-                        Model::SteadyTime now);
+                           Model::SteadyTime now);
 
 } // namespace Peers
--- a/Libraries/LibPolicy/Claims.cpp
+++ b/Libraries/LibPolicy/Claims.cpp
@@ -32,7 +32,8 @@
 
 } // namespace
 
-ClaimVerdict evaluateClaim(const Claim &found, const std::string &ownHolder, std::uint64_t requestHash)
+ClaimVerdict evaluateClaim(const Claim &found, const std::string &ownHolder,
+                           std::uint64_t requestHash)
 {
     if (found.requestHash_ != requestHash)
         return ClaimVerdict::OtherRequest;
--- a/Libraries/LibPolicy/Claims.h
+++ b/Libraries/LibPolicy/Claims.h
@@ -53,7 +53,7 @@
 /// the first one is still in progress, and a release order runs twice. A claim never expires by
 /// time, because its holder may only be paused. Thread safety: any thread.
 ClaimVerdict evaluateClaim(const Claim &found, const std::string &ownHolder,
-                        std::uint64_t requestHash);
+                           std::uint64_t requestHash);
 
 /// Returns the text in which the store keeps a claim. claimFromText() parses it; for any other text
 /// it returns std::nullopt with PlatformBadAnswer as the last reason.
--- a/Libraries/LibPolicy/CrashEvidence.cpp
+++ b/Libraries/LibPolicy/CrashEvidence.cpp
@@ -42,7 +42,8 @@
 
 /// Returns whether the request has an expired quarantine that was not released: one more crash
 /// renews it.
-bool hasExpiredQuarantine(const CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
+bool hasExpiredQuarantine(const CrashRecords &records, const RequestFingerprint &fingerprint,
+                          SteadyTime now)
 {
     const auto found = records.quarantines_.find(fingerprint);
     return found != records.quarantines_.end() && found->second.generation_ > found->second.lifted_
@@ -58,7 +59,8 @@
         crashed.suspects_.begin(), crashed.suspects_.end(), [&](const Suspect &suspect) {
             if (suspect.isCleared_ || suspect.fingerprint_.request_ == fingerprint.request_)
                 return false;
-            for (const auto &quarantined : {suspect.fingerprint_, anyCaller(suspect.fingerprint_)}) {
+            for (const auto &quarantined :
+                 {suspect.fingerprint_, anyCaller(suspect.fingerprint_)}) {
                 const auto found = records.quarantines_.find(quarantined);
                 if (found != records.quarantines_.end() && isInForce(found->second, now))
                     return true;
@@ -159,7 +161,8 @@
 bool isOnlySuspect(const Evidence &evidence, const RequestEvidence &suspected)
 {
     return std::none_of(evidence.begin(), evidence.end(), [&](const RequestEvidence &other) {
-        if (other.fingerprint_.request_ == suspected.fingerprint_.request_ || other.runs_.size() < 2)
+        if (other.fingerprint_.request_ == suspected.fingerprint_.request_
+            || other.runs_.size() < 2)
             return false;
         const auto apart = std::count_if(
             suspected.runs_.begin(), suspected.runs_.end(), [&](const CrashedIncarnation *crashed) {
@@ -219,7 +222,7 @@
 
 /// Quarantines one request, if there is one with enough evidence.
 std::optional<RequestFingerprint> quarantineOne(CrashRecords &records, const Evidence &evidence,
-                                          SteadyTime now)
+                                                SteadyTime now)
 {
     for (const auto &candidate : candidatesIn(records, evidence, now)) {
         const bool isSettled = now - records.pending_.at(candidate.fingerprint_) >= settleTime;
@@ -295,13 +298,14 @@
 
 } // namespace
 
-TargetIncarnationKey targetIncarnationKeyOf(const Model::TargetId &target, Model::Incarnation incarnation)
+TargetIncarnationKey targetIncarnationKeyOf(const Model::TargetId &target,
+                                            Model::Incarnation incarnation)
 {
     return TargetIncarnationKey(ownerScore(seedOf(target.value()), incarnation.value()));
 }
 
-void noteEnded(CrashRecords &records, TargetIncarnationKey crashed, const std::vector<RequestFingerprint> &fingerprints,
-               SteadyTime now)
+void noteEnded(CrashRecords &records, TargetIncarnationKey crashed,
+               const std::vector<RequestFingerprint> &fingerprints, SteadyTime now)
 {
     const auto [found, isNew] = records.runs_.try_emplace(crashed);
     CrashedIncarnation &ended = found->second;
@@ -391,8 +395,9 @@
                                   CrashView::Entry{fingerprint, RequestStanding::Pending,
                                                    pending->second + settleTime});
         } else if (countCrashTimes(crashes) >= crashTimesForProbe) {
-            view.entries_.emplace(fingerprint.request_,
-                                  CrashView::Entry{fingerprint, RequestStanding::SerializedProbe, now});
+            view.entries_.emplace(
+                fingerprint.request_,
+                CrashView::Entry{fingerprint, RequestStanding::SerializedProbe, now});
         }
     }
     for (const auto &[fingerprint, quarantine] : records.quarantines_) {
@@ -409,7 +414,8 @@
     return view;
 }
 
-CurrentStanding standingOf(const CrashView &view, const RequestFingerprint &fingerprint, SteadyTime now)
+CurrentStanding standingOf(const CrashView &view, const RequestFingerprint &fingerprint,
+                           SteadyTime now)
 {
     CurrentStanding result;
     const auto [first, last] = view.entries_.equal_range(fingerprint.request_);
--- a/Libraries/LibPolicy/CrashEvidence.h
+++ b/Libraries/LibPolicy/CrashEvidence.h
@@ -17,7 +17,8 @@
 using TargetIncarnationKey = Model::StrongNumber<struct TargetIncarnationKeyTag, std::uint64_t>;
 
 /// Returns the key of an incarnation of a target. Thread safety: any thread.
-TargetIncarnationKey targetIncarnationKeyOf(const Model::TargetId &target, Model::Incarnation incarnation);
+TargetIncarnationKey targetIncarnationKeyOf(const Model::TargetId &target,
+                                            Model::Incarnation incarnation);
 
 /// A request that was in progress when an incarnation crashed.
 struct Suspect
@@ -94,16 +95,18 @@
 /// Records that the incarnation \a crashed ended while requests with \a fingerprints were in
 /// progress there. Reports with the same key are merged. Thread safety: \a records belongs to the
 /// calling thread.
-void noteEnded(CrashRecords &records, TargetIncarnationKey crashed, const std::vector<RequestFingerprint> &fingerprints,
-               Model::SteadyTime now);
+void noteEnded(CrashRecords &records, TargetIncarnationKey crashed,
+               const std::vector<RequestFingerprint> &fingerprints, Model::SteadyTime now);
 
 /// Records that a target answered a request: clears it in all incarnations and releases its
 /// quarantine. Returns whether a quarantine was released. Thread safety: as above.
-bool noteAnswered(CrashRecords &records, const RequestFingerprint &fingerprint, Model::SteadyTime now);
+bool noteAnswered(CrashRecords &records, const RequestFingerprint &fingerprint,
+                  Model::SteadyTime now);
 
 /// Releases the quarantine of \a fingerprint on an operator's request. Returns whether one was in
 /// force. Thread safety: as above.
-bool liftQuarantine(CrashRecords &records, const RequestFingerprint &fingerprint, Model::SteadyTime now);
+bool liftQuarantine(CrashRecords &records, const RequestFingerprint &fingerprint,
+                    Model::SteadyTime now);
 
 /// The changes that judge() made.
 struct QuarantineChanges
--- a/Libraries/LibPolicy/DomainPicker.cpp
+++ b/Libraries/LibPolicy/DomainPicker.cpp
@@ -27,7 +27,8 @@
 {
     std::optional<std::size_t> best;
     for (std::size_t i = 0; i < views.size(); ++i) {
-        const bool canTake = views[i].isUsable_ && views[i].hasFreeSlot_ && views[i].isInLocalRegion_;
+        const bool canTake
+            = views[i].isUsable_ && views[i].hasFreeSlot_ && views[i].isInLocalRegion_;
         if (!canTake || shares.shares_[i] <= negligible)
             continue;
         if (credits.credits_[i] - 1 < -maximumDebt)
--- a/Libraries/LibPolicy/LeaveSpans.cpp
+++ b/Libraries/LibPolicy/LeaveSpans.cpp
@@ -29,8 +29,12 @@
 std::vector<LeaveSpan> leavePathWithoutAnnouncement()
 {
     return {
-        {"gather", targetBatchDelay}, {"store_answer", storeAnswer}, {"grace", unobservedExpiryGrace},
-        {"tick", tickPeriod},      {"watch", tickPeriod},         {"send", sendToLeavingTimeout},
+        {"gather", targetBatchDelay},
+        {"store_answer", storeAnswer},
+        {"grace", unobservedExpiryGrace},
+        {"tick", tickPeriod},
+        {"watch", tickPeriod},
+        {"send", sendToLeavingTimeout},
     };
 }
 
--- a/Libraries/LibPolicy/OthersLoad.cpp
+++ b/Libraries/LibPolicy/OthersLoad.cpp
@@ -27,7 +27,8 @@
     load.reportedAt_ = now;
 }
 
-double peerReportedLoadAt(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
+double peerReportedLoadAt(const PeerReportedLoad &load, Model::Microseconds workTime,
+                          Model::SteadyTime now)
 {
     const double average = averageAt(load, now);
     const double ages
@@ -38,7 +39,8 @@
     return average + (load.latest_ - average) * kept;
 }
 
-double freshPeerReportedLoad(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now)
+double freshPeerReportedLoad(const PeerReportedLoad &load, Model::Microseconds workTime,
+                             Model::SteadyTime now)
 {
     return now - load.reportedAt_ < std::min(workTime, maxReportAge) ? load.latest_ : 0;
 }
--- a/Libraries/LibPolicy/OthersLoad.h
+++ b/Libraries/LibPolicy/OthersLoad.h
@@ -32,13 +32,15 @@
 /// If an old report counted for nothing, an entry that receives a report once in a second or two
 /// would consider the target idle in between, and send to one with a queue while others have free
 /// slots. Thread safety: any thread.
-double peerReportedLoadAt(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
+double peerReportedLoadAt(const PeerReportedLoad &load, Model::Microseconds workTime,
+                          Model::SteadyTime now);
 
 /// Returns the number of requests of other entries in progress by a report that is no older than
 /// \a workTime, else 0.
 ///
 /// Used to choose among targets: a wait that may be over does not justify a cold load on another
 /// target. Thread safety: any thread.
-double freshPeerReportedLoad(const PeerReportedLoad &load, Model::Microseconds workTime, Model::SteadyTime now);
+double freshPeerReportedLoad(const PeerReportedLoad &load, Model::Microseconds workTime,
+                             Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/Outcome.h
+++ b/Libraries/LibPolicy/Outcome.h
@@ -61,8 +61,8 @@
 /// safety: as above.
 bool reserveRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts);
 
-/// Returns the credit that reserveRetryCredit() reserved; mayRetry() then takes it if needed. Thread
-/// safety: as above.
+/// Returns the credit that reserveRetryCredit() reserved; mayRetry() then takes it if needed.
+/// Thread safety: as above.
 void releaseRetryCredit(RetryBudget &budget);
 
 /// Returns whether a request that got \a outcome on its attempt number \a attempts may be retried,
--- a/Libraries/LibPolicy/PeerUpdate.cpp
+++ b/Libraries/LibPolicy/PeerUpdate.cpp
@@ -134,7 +134,8 @@
             return;
         const auto found = known_.find(member.instance_.id_);
         const bool isKnownIncarnation
-            = found != known_.end() && found->second->incarnation_ == member.heartbeatRecord_.incarnation_;
+            = found != known_.end()
+              && found->second->incarnation_ == member.heartbeatRecord_.incarnation_;
         if (isKnownIncarnation && found->second->heartbeat_ >= member.heartbeatRecord_.heartbeat_)
             return;
         if (!isKnownIncarnation && fullRecordsLeft > 0) {
@@ -252,8 +253,8 @@
 }
 
 const Member *nearestPeerWith(const Members &members, const Model::Instance &own,
-                          const std::function<bool(const Member &)> &knowsMore,
-                          Model::SteadyTime now, std::uint64_t random)
+                              const std::function<bool(const Member &)> &knowsMore,
+                              Model::SteadyTime now, std::uint64_t random)
 {
     MemberList sameDomain;
     MemberList local;
@@ -271,9 +272,10 @@
     return nullptr;
 }
 
-std::vector<MemberHeartbeat> heartbeatRecordsForRequest(const Members &members, const Model::Instance &own,
-                                         const Model::RegionId &peerRegion, Model::SteadyTime now,
-                                         std::uint64_t random)
+std::vector<MemberHeartbeat> heartbeatRecordsForRequest(const Members &members,
+                                                        const Model::Instance &own,
+                                                        const Model::RegionId &peerRegion,
+                                                        Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
     MemberList sent = aliveIn(members, own, own.region_, now);
@@ -297,8 +299,9 @@
     return pulses;
 }
 
-PeerUpdate peerUpdateFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
-                 const std::vector<MemberHeartbeat> &known, Model::SteadyTime now, std::uint64_t random)
+PeerUpdate peerUpdateFor(const Members &members, const Model::Instance &own,
+                         const Model::Instance &asker, const std::vector<MemberHeartbeat> &known,
+                         Model::SteadyTime now, std::uint64_t random)
 {
     Random generator = randomFrom(random);
     PeerUpdateBuilder builder(known, asker, now);
--- a/Libraries/LibPolicy/PeerUpdate.h
+++ b/Libraries/LibPolicy/PeerUpdate.h
@@ -81,19 +81,21 @@
 /// else of the local region, else of another one; nullptr if there is none.
 /// Thread safety: any thread.
 const Member *nearestPeerWith(const Members &members, const Model::Instance &own,
-                          const std::function<bool(const Member &)> &knowsMore,
-                          Model::SteadyTime now, std::uint64_t random);
+                              const std::function<bool(const Member &)> &knowsMore,
+                              Model::SteadyTime now, std::uint64_t random);
 
 /// Returns the heartbeat records that \a own sends with a request to a peer in \a peerRegion; the
 /// peer answers with newer ones. \a own itself is left out. Thread safety: any thread.
-std::vector<MemberHeartbeat> heartbeatRecordsForRequest(const Members &members, const Model::Instance &own,
-                                         const Model::RegionId &peerRegion, Model::SteadyTime now,
-                                         std::uint64_t random);
+std::vector<MemberHeartbeat> heartbeatRecordsForRequest(const Members &members,
+                                                        const Model::Instance &own,
+                                                        const Model::RegionId &peerRegion,
+                                                        Model::SteadyTime now,
+                                                        std::uint64_t random);
 
 /// Returns the records of \a own that are newer than those that \a asker has sent as \a known.
 /// Thread safety: any thread.
-PeerUpdate peerUpdateFor(const Members &members, const Model::Instance &own, const Model::Instance &asker,
-                 const std::vector<MemberHeartbeat> &known, Model::SteadyTime now,
-                 std::uint64_t random);
+PeerUpdate peerUpdateFor(const Members &members, const Model::Instance &own,
+                         const Model::Instance &asker, const std::vector<MemberHeartbeat> &known,
+                         Model::SteadyTime now, std::uint64_t random);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RequestAdmission.cpp
+++ b/Libraries/LibPolicy/RequestAdmission.cpp
@@ -25,7 +25,7 @@
 }
 
 Model::Milliseconds refusalRetryDelay(Model::Microseconds expected, Model::Milliseconds latencyGoal,
-                                double draw)
+                                      double draw)
 {
     const auto excess = std::chrono::duration_cast<Model::Milliseconds>(expected) - latencyGoal;
     const auto base = std::clamp(3 * excess, 3 * minReturnDelay, maxReturnDelay);
--- a/Libraries/LibPolicy/RequestAdmission.h
+++ b/Libraries/LibPolicy/RequestAdmission.h
@@ -33,6 +33,6 @@
 /// and is spread by \a draw (0 to below 1), so that callers refused together do not retry together.
 /// Thread safety: any thread.
 Model::Milliseconds refusalRetryDelay(Model::Microseconds expected, Model::Milliseconds latencyGoal,
-                                double draw);
+                                      double draw);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RequestFingerprint.h
+++ b/Libraries/LibPolicy/RequestFingerprint.h
@@ -24,7 +24,8 @@
 /// The fingerprint of a request without its id: the same for every repeat, on every instance.
 struct RequestFingerprint
 {
-    /// The upper half is fingerprintPrefixOf() of the request, the lower half also depends on its body.
+    /// The upper half is fingerprintPrefixOf() of the request, the lower half also depends on its
+    /// body.
     std::uint64_t request_ = 0;
     /// Zero matches any caller.
     std::uint32_t caller_ = 0;
@@ -39,15 +40,16 @@
     return static_cast<std::uint32_t>(fingerprint.request_ >> 32U);
 }
 
-/// Returns the fingerprint of a request; \a prefix is fingerprintPrefixOf() of it. Thread safety: any thread.
+/// Returns the fingerprint of a request; \a prefix is fingerprintPrefixOf() of it. Thread safety:
+/// any thread.
 RequestFingerprint fingerprintOf(const RequestText &text, std::uint32_t prefix);
 inline RequestFingerprint fingerprintOf(const RequestText &text)
 {
     return fingerprintOf(text, fingerprintPrefixOf(text));
 }
 
-/// Returns "0123456789abcdef-01234567"; fingerprintFromText() parses it and returns std::nullopt, with
-/// BadValue as the last reason, for any other text. Thread safety: any thread.
+/// Returns "0123456789abcdef-01234567"; fingerprintFromText() parses it and returns std::nullopt,
+/// with BadValue as the last reason, for any other text. Thread safety: any thread.
 std::string toText(const RequestFingerprint &fingerprint);
 std::optional<RequestFingerprint> fingerprintFromText(std::string_view text);
 
--- a/Libraries/LibPolicy/SlowStart.cpp
+++ b/Libraries/LibPolicy/SlowStart.cpp
@@ -27,7 +27,7 @@
 }
 
 bool takeSlowStartToken(SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
-                  Model::SteadyTime now)
+                        Model::SteadyTime now)
 {
     if (limit.value() <= 0)
         return true;
@@ -41,7 +41,7 @@
 }
 
 bool hasSlowStartToken(const SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
-                 Model::SteadyTime now)
+                       Model::SteadyTime now)
 {
     return limit.value() <= 0 || tokensAt(ramp, limit, holders, now) >= 1;
 }
--- a/Libraries/LibPolicy/SlowStart.h
+++ b/Libraries/LibPolicy/SlowStart.h
@@ -25,10 +25,10 @@
 /// behind and crashes again. With more saved tokens, all entries would spend them in the same
 /// second. Thread safety: as above.
 bool takeSlowStartToken(SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
-                  Model::SteadyTime now);
+                        Model::SteadyTime now);
 
 /// Returns whether takeSlowStartToken() would succeed. Thread safety: any thread.
 bool hasSlowStartToken(const SlowStart &ramp, Model::RequestsPerSecond limit, std::size_t holders,
-                 Model::SteadyTime now);
+                       Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/SpareConnections.cpp
+++ b/Libraries/LibPolicy/SpareConnections.cpp
@@ -19,7 +19,8 @@
     use.usedAt_ = now;
 }
 
-bool isIdleConnectionWorthwhile(const TargetUse &use, Model::Milliseconds life, Model::SteadyTime now)
+bool isIdleConnectionWorthwhile(const TargetUse &use, Model::Milliseconds life,
+                                Model::SteadyTime now)
 {
     // A target that has been idle for longer than the average is used less than before.
     const double gap = std::max(use.averageGapS_, Model::inSeconds(now - use.usedAt_) / 2);
--- a/Libraries/LibPolicy/SpareConnections.h
+++ b/Libraries/LibPolicy/SpareConnections.h
@@ -30,6 +30,7 @@
 /// fresh enough, wait a round trip for a new one and are late. With idle connections to all
 /// targets, each entry of a large fleet opens one to each target every few seconds, and most are
 /// never used. Thread safety: any thread.
-bool isIdleConnectionWorthwhile(const TargetUse &use, Model::Milliseconds life, Model::SteadyTime now);
+bool isIdleConnectionWorthwhile(const TargetUse &use, Model::Milliseconds life,
+                                Model::SteadyTime now);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/WeightedRoundRobin.cpp
+++ b/Libraries/LibPolicy/WeightedRoundRobin.cpp
@@ -2,7 +2,8 @@
 
 namespace Policy {
 
-std::size_t nextWeightedSplit(WeightedRoundRobin &turns, const std::vector<Model::WeightedSplit> &parts)
+std::size_t nextWeightedSplit(WeightedRoundRobin &turns,
+                              const std::vector<Model::WeightedSplit> &parts)
 {
     if (parts.size() < 2)
         return 0;
--- a/Libraries/LibPolicy/WeightedRoundRobin.h
+++ b/Libraries/LibPolicy/WeightedRoundRobin.h
@@ -20,6 +20,7 @@
 /// With a random draw, the counts of a few hundred requests would deviate by several percent from
 /// the weights. Precondition: \a parts has a weight above zero. Thread safety: \a turns belongs to
 /// the calling thread.
-std::size_t nextWeightedSplit(WeightedRoundRobin &turns, const std::vector<Model::WeightedSplit> &parts);
+std::size_t nextWeightedSplit(WeightedRoundRobin &turns,
+                              const std::vector<Model::WeightedSplit> &parts);
 
 } // namespace Policy
--- a/Libraries/LibSteering/CrashGuard.cpp
+++ b/Libraries/LibSteering/CrashGuard.cpp
@@ -33,7 +33,8 @@
     if (view_.isEmpty() || !view_.mayHold(fingerprintPrefixFor(request, port_.headers_)))
         return std::nullopt;
     const auto found = Policy::standingOf(view_, fingerprintFor(request, port_.headers_), now);
-    Refusal refusal{ResultCode::Quarantined, Policy::serializedProbeRetryDelay, Model::Microseconds(0)};
+    Refusal refusal{ResultCode::Quarantined, Policy::serializedProbeRetryDelay,
+                    Model::Microseconds(0)};
     switch (found.standing_) {
     case RequestStanding::Free:
         return std::nullopt;
@@ -124,9 +125,10 @@
             .add("in_progress", static_cast<std::int64_t>(target.lostRequests_.size()))
             .add("print", toText(target.lostRequests_.front()));
     }
-    Policy::noteEnded(crashRecords_,
-                      Policy::targetIncarnationKeyOf(target.record_.id_, target.record_.incarnation_),
-                      target.lostRequests_, now);
+    Policy::noteEnded(
+        crashRecords_,
+        Policy::targetIncarnationKeyOf(target.record_.id_, target.record_.incarnation_),
+        target.lostRequests_, now);
     target.lostRequests_.clear();
 }
 
@@ -136,7 +138,8 @@
         return;
     const RequestFingerprint &fingerprint = fingerprintFor(request, port_.headers_);
     if (Policy::noteAnswered(crashRecords_, fingerprint, now)) {
-        for (const RequestFingerprint &lifted : {fingerprint, RequestFingerprint{fingerprint.request_, 0}}) {
+        for (const RequestFingerprint &lifted :
+             {fingerprint, RequestFingerprint{fingerprint.request_, 0}}) {
             if (!crashRecords_.quarantines_.contains(lifted))
                 continue;
             logLifted(lifted, "answer");
@@ -157,7 +160,8 @@
             noteEnded(*target, now);
     }
     std::erase_if(targetsWithLosses_, [&](const auto &target) {
-        return target->lostRequests_.empty() || now - target->lastLossAt_ > Policy::connectionLossWindow;
+        return target->lostRequests_.empty()
+               || now - target->lastLossAt_ > Policy::connectionLossWindow;
     });
 }
 
@@ -217,7 +221,8 @@
         return;
     bool hasDecisionChanged = false;
     for (const auto &received : news.quarantines_) {
-        const bool was = std::find(before.begin(), before.end(), received.fingerprint_) != before.end();
+        const bool was
+            = std::find(before.begin(), before.end(), received.fingerprint_) != before.end();
         const bool is = isInForce(received.fingerprint_);
         hasDecisionChanged |= was != is;
         if (was && !is)
@@ -233,8 +238,8 @@
         judge(now);
 }
 
-void CrashGuard::mergeQuarantineRecords(const std::map<std::string, std::string> &records, SteadyTime now,
-                             Model::WallTime wallNow)
+void CrashGuard::mergeQuarantineRecords(const std::map<std::string, std::string> &records,
+                                        SteadyTime now, Model::WallTime wallNow)
 {
     for (const auto &[key, text] : records) {
         const auto fingerprint = Policy::fingerprintFromText(key);
--- a/Libraries/LibSteering/CrashGuard.h
+++ b/Libraries/LibSteering/CrashGuard.h
@@ -63,8 +63,8 @@
     void setInformed() { isInformed_ = true; }
     /// Merges the store's records, and has unreadable and expired ones removed there. \a wallNow is
     /// the wall clock's time at \a now.
-    void mergeQuarantineRecords(const std::map<std::string, std::string> &records, Model::SteadyTime now,
-                     Model::WallTime wallNow);
+    void mergeQuarantineRecords(const std::map<std::string, std::string> &records,
+                                Model::SteadyTime now, Model::WallTime wallNow);
     /// Returns the records that are yet to be written to the store, each once.
     std::vector<QuarantineRecord> takeUnwritten(Model::SteadyTime now, Model::WallTime wallNow);
     /// Has takeUnwritten() return a record again that the store failed to write.
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -92,8 +92,8 @@
 } // namespace
 
 Dispatcher::Dispatcher(Http::asio::io_context &context, const PlatformPort &port,
-                       const PlatformState &knowledge, PlacementEngine &placementEngine, CrashGuard &guard,
-                       Observe::DecisionLog &log)
+                       const PlatformState &knowledge, PlacementEngine &placementEngine,
+                       CrashGuard &guard, Observe::DecisionLog &log)
     : context_(context)
     , port_(port)
     , platformState_(knowledge)
@@ -146,7 +146,8 @@
     request.service_ = placementEngine_.chooseService(*request.route_);
     Policy::RetryTerms terms;
     terms.share_ = port_.terms_.retryShare_ * usedRetryFraction;
-    terms.maxCredit_ = port_.terms_.retryExtra_ * usedRetryFraction / static_cast<double>(instances_);
+    terms.maxCredit_
+        = port_.terms_.retryExtra_ * usedRetryFraction / static_cast<double>(instances_);
     Policy::earnRetryCredit(retryBudgets_[request.service_], terms);
     return std::nullopt;
 }
@@ -296,8 +297,9 @@
 void Dispatcher::noteSend(const RequestContext &request, TargetState &target)
 {
     const auto now = steadyNow();
-    target.lastSend_ = {request.id_, now, platformState_.replica(StoreTable::Targets).knownRevision(),
-                        targetsFreshness_()};
+    target.lastSend_
+        = {request.id_, now, platformState_.replica(StoreTable::Targets).knownRevision(),
+           targetsFreshness_()};
     if (!target.removedRegistration_)
         return;
     log_.line(Event::RequestSentToMissing)
--- a/Libraries/LibSteering/Dispatcher.h
+++ b/Libraries/LibSteering/Dispatcher.h
@@ -50,7 +50,10 @@
     void setInstances(std::size_t instances) { instances_ = std::max<std::size_t>(1, instances); }
 
     /// Sets the function that returns when the targets' rows were last confirmed.
-    void setTargetsFreshness(std::function<TargetsFreshness()> news) { targetsFreshness_ = std::move(news); }
+    void setTargetsFreshness(std::function<TargetsFreshness()> news)
+    {
+        targetsFreshness_ = std::move(news);
+    }
 
     /// Opens a new connection to each remote target that is in use and whose idle connections are
     /// about to expire. Policy::isIdleConnectionWorthwhile() gives the reason.
--- a/Libraries/LibSteering/DispatcherOutcomes.cpp
+++ b/Libraries/LibSteering/DispatcherOutcomes.cpp
@@ -38,8 +38,8 @@
         .add("target", target.record_.id_.value())
         .add("sent", wasSent ? "in part" : "no")
         .add("chosen_ms_ago", std::chrono::duration_cast<Microseconds>(steadyNow() - chosenAt))
-        .add("knowing",
-             static_cast<std::int64_t>(platformState_.replica(StoreTable::Targets).knownRevision().value()))
+        .add("knowing", static_cast<std::int64_t>(
+                            platformState_.replica(StoreTable::Targets).knownRevision().value()))
         .add("by", platformState_.targetsSource());
 }
 
@@ -51,8 +51,8 @@
     Policy::learnLoad(target.sharedLoad_, static_cast<double>(load->running_ + load->waiting_),
                       target.record_.slots_, steadyNow());
     const std::int64_t others = load->running_ + load->waiting_ - target.ownInFlight_;
-    Policy::learnPeerReportedLoad(target.othersLoad_, std::max<double>(0, static_cast<double>(others)),
-                            steadyNow());
+    Policy::learnPeerReportedLoad(target.othersLoad_,
+                                  std::max<double>(0, static_cast<double>(others)), steadyNow());
 }
 
 Dispatcher::Attempt Dispatcher::judge(RequestContext &request, const Placement &placement,
--- a/Libraries/LibSteering/Instance.cpp
+++ b/Libraries/LibSteering/Instance.cpp
@@ -117,7 +117,7 @@
         });
     parts_->dispatcher_.setTargetsFreshness([this] {
         return TargetsFreshness{parts_->follower_.confirmedAt(StoreTable::Targets),
-                           parts_->peers_.upToDateAt()};
+                                parts_->peers_.upToDateAt()};
     });
     parts_->follower_.start();
     waitForSignal();
--- a/Libraries/LibSteering/InstanceRecords.cpp
+++ b/Libraries/LibSteering/InstanceRecords.cpp
@@ -115,7 +115,8 @@
 {
     const auto records = parts_->guard_.takeUnwritten(steadyNow(), wallNow());
     for (const auto &record : records) {
-        const bool isWritten = co_await port_.writeQuarantine_(toText(record.fingerprint_), record.text_);
+        const bool isWritten
+            = co_await port_.writeQuarantine_(toText(record.fingerprint_), record.text_);
         if (isWritten)
             continue;
         log_.line(Event::QuarantinesUnread).add("reason", toText(Model::lastReason()));
--- a/Libraries/LibSteering/PeerCalls.cpp
+++ b/Libraries/LibSteering/PeerCalls.cpp
@@ -70,8 +70,8 @@
     PeerMessage message{members_.at(settings_.instance_), {}, {}, provideCrashes_()};
     if (!isAnnouncement) {
         message.loads_ = provideLoads_();
-        message.update_.heartbeatRecords_
-            = Policy::heartbeatRecordsForRequest(members_, localInstance(), peer.region_, now, random_());
+        message.update_.heartbeatRecords_ = Policy::heartbeatRecordsForRequest(
+            members_, localInstance(), peer.region_, now, random_());
     }
     const Model::Address &address = peer.addresses_.control_;
     const Http::ExchangeOptions options = optionsTo(addressToDial(address), gossipTimeout);
@@ -109,8 +109,8 @@
     lastFetchAt_ = std::chrono::steady_clock::now();
     const Model::Address &address = chosen.addresses_.control_;
     const Http::ExchangeOptions options = optionsTo(addressToDial(address), fetchTimeout);
-    const Http::Request request
-        = requestTo(address, http::verb::get, stateRequestTarget(platformState_.knownRevisions()), "");
+    const Http::Request request = requestTo(
+        address, http::verb::get, stateRequestTarget(platformState_.knownRevisions()), "");
     const auto result = co_await Http::exchange(pool_, options, request, Http::anyAnswer);
     pendingFetches_.erase(chosen.id_);
     countCall(PeerCall::PlatformState, chosen, request, result);
@@ -153,7 +153,7 @@
     PeerMessage update{members_.at(settings_.instance_), {}, {}, provideCrashes_()};
     update.loads_ = provideLoads_();
     update.update_ = Policy::peerUpdateFor(members_, localInstance(), received->sender_.instance_,
-                                     received->update_.heartbeatRecords_, now, random_());
+                                           received->update_.heartbeatRecords_, now, random_());
     return Http::textAnswer(http::status::ok, messageType, toBytes(update), request.version());
 }
 
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -86,7 +86,8 @@
     heartbeatRecord.store_ = store_.contact_;
     heartbeatRecord.storeAnswered_ = std::chrono::duration_cast<Milliseconds>(answered);
     heartbeatRecord.targetsRead_ = isStoreReached ? store_.targetsRead_ : 0;
-    heartbeatRecord.operatorsSeen_ = platformState_.replica(StoreTable::Operators).lastChange().value();
+    heartbeatRecord.operatorsSeen_
+        = platformState_.replica(StoreTable::Operators).lastChange().value();
     heartbeatRecord.targetsSeen_ = platformState_.replica(StoreTable::Targets).lastChange().value();
     heartbeatRecord.regionEntries_
         = static_cast<std::uint32_t>(Policy::entriesIn(members_, settings_.region_, now));
@@ -276,7 +277,7 @@
         const auto &heartbeatRecord = member.heartbeatRecord_;
         return !pendingFetches_.contains(member.instance_.id_)
                && platformState_.isBehind({Platform::Revision(heartbeatRecord.operatorsSeen_),
-                                       Platform::Revision(heartbeatRecord.targetsSeen_)});
+                                           Platform::Revision(heartbeatRecord.targetsSeen_)});
     };
     return Policy::nearestPeerWith(members_, localInstance(), hasNewerRows, now, random_());
 }
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "Knowledge.h"
 #include "PeerMessage.h"
 #include "PeerTraffic.h"
+#include "PlatformState.h"
 
 #include <functional>
 #include <random>
--- a/Libraries/LibSteering/PeerMessage.cpp
+++ b/Libraries/LibSteering/PeerMessage.cpp
@@ -138,8 +138,8 @@
     }
     json quarantines = json::array();
     for (const auto &item : update.quarantines_) {
-        quarantines.push_back({item.fingerprint_.request_, item.fingerprint_.caller_, item.generation_,
-                               item.lifted_, item.age_.count()});
+        quarantines.push_back({item.fingerprint_.request_, item.fingerprint_.caller_,
+                               item.generation_, item.lifted_, item.age_.count()});
     }
     return {std::move(runs), std::move(quarantines)};
 }
--- a/Libraries/LibSteering/PlacementEngine.cpp
+++ b/Libraries/LibSteering/PlacementEngine.cpp
@@ -24,7 +24,8 @@
 
 } // namespace
 
-PlacementEngine::PlacementEngine(const Observe::Settings &settings, const PlatformState &knowledge, TargetRegistry &registry)
+PlacementEngine::PlacementEngine(const Observe::Settings &settings, const PlatformState &knowledge,
+                                 TargetRegistry &registry)
     : settings_(settings)
     , platformState_(knowledge)
     , registry_(registry)
@@ -60,7 +61,8 @@
     return route.splits_[Policy::nextWeightedSplit(state.weightedSplit_, route.splits_)].service_;
 }
 
-PlacementEngine::RouteWork &PlacementEngine::workOf(const Model::Route &route, const Model::ServiceId &service)
+PlacementEngine::RouteWork &PlacementEngine::workOf(const Model::Route &route,
+                                                    const Model::ServiceId &service)
 {
     auto &work = routes_[route.id_].work_;
     const auto known = work.find(service);
@@ -80,7 +82,7 @@
 }
 
 PlacementEngine::ObjectView PlacementEngine::viewOf(const RequestContext &request,
-                                  const ServiceTargets &targets) const
+                                                    const ServiceTargets &targets) const
 {
     ObjectView view;
     view.draws_ = Policy::domainDraws(request.object_, registry_.domainSeeds());
@@ -103,7 +105,8 @@
     return std::max<std::size_t>(1, all);
 }
 
-bool PlacementEngine::mayTake(const RequestContext &request, const TargetState &target, SteadyTime now) const
+bool PlacementEngine::mayTake(const RequestContext &request, const TargetState &target,
+                              SteadyTime now) const
 {
     if (!target.takesWork() || !Policy::mayTry(target.reachability_, now))
         return false;
@@ -117,8 +120,8 @@
                           && entries_[target.region_] > 0;
     const auto *service = request.table_->service(request.service_);
     return !isOthers && service
-           && Policy::hasSlowStartToken(target.slowStart_, service->coldLimit_, entriesSharing(target),
-                                  now);
+           && Policy::hasSlowStartToken(target.slowStart_, service->coldLimit_,
+                                        entriesSharing(target), now);
 }
 
 Microseconds PlacementEngine::meanTimeOf(const Model::ServiceId &service) const
@@ -128,7 +131,7 @@
 }
 
 double PlacementEngine::slotUseOf(const Model::ServiceId &service, const ServiceTargets &targets,
-                         SteadyTime now)
+                                  SteadyTime now)
 {
     SlotUse &use = use_[service];
     if (now - use.countedAt_ < slotCountInterval)
@@ -150,7 +153,7 @@
 }
 
 bool PlacementEngine::isKnownWarm(const RequestContext &request, const TargetState &target,
-                         SteadyTime now) const
+                                  SteadyTime now) const
 {
     if (!request.hasObject_)
         return true;
@@ -161,8 +164,8 @@
     return memory == memory_.end() || now - sent->second < memory->second.kept_;
 }
 
-Policy::Candidate PlacementEngine::candidateFor(const RequestContext &request, const TargetState &target,
-                                       SteadyTime now) const
+Policy::Candidate PlacementEngine::candidateFor(const RequestContext &request,
+                                                const TargetState &target, SteadyTime now) const
 {
     const auto workTime = meanTimeOf(request.service_);
     Policy::Candidate candidate;
@@ -185,9 +188,10 @@
     return candidate;
 }
 
-PlacementEngine::Owners PlacementEngine::ownersAmong(const RequestContext &request,
-                                   const std::vector<std::shared_ptr<TargetState>> &targets,
-                                   SteadyTime now) const
+PlacementEngine::Owners
+PlacementEngine::ownersAmong(const RequestContext &request,
+                             const std::vector<std::shared_ptr<TargetState>> &targets,
+                             SteadyTime now) const
 {
     Owners owners;
     std::uint64_t firstScore = 0;
@@ -210,8 +214,8 @@
 }
 
 void PlacementEngine::addOwners(const RequestContext &request,
-                       const std::vector<std::shared_ptr<TargetState>> &targets, bool isHome,
-                       bool isHomeOfOthers, SteadyTime now)
+                                const std::vector<std::shared_ptr<TargetState>> &targets,
+                                bool isHome, bool isHomeOfOthers, SteadyTime now)
 {
     const Owners owners = ownersAmong(request, targets, now);
     const auto &others = workOf(*request.route_, request.service_).peerWarmth_;
@@ -237,7 +241,7 @@
 }
 
 void PlacementEngine::gatherCandidates(const RequestContext &request, const ServiceTargets &targets,
-                              SteadyTime now)
+                                       SteadyTime now)
 {
     candidates_.clear();
     candidateTargets_.clear();
@@ -253,7 +257,8 @@
     limitSpillOver(request, view.home_, now);
 }
 
-void PlacementEngine::limitSpillOver(const RequestContext &request, std::size_t home, SteadyTime now)
+void PlacementEngine::limitSpillOver(const RequestContext &request, std::size_t home,
+                                     SteadyTime now)
 {
     const auto &domains = request.table_->domains();
     if (home >= domains.size())
@@ -281,7 +286,8 @@
     candidateTargets_.resize(kept);
 }
 
-std::variant<Placement, Refusal> PlacementEngine::place(const RequestContext &request, SteadyTime now)
+std::variant<Placement, Refusal> PlacementEngine::place(const RequestContext &request,
+                                                        SteadyTime now)
 {
     if (!platformState_.replica(StoreTable::Targets).isKnown())
         return Refusal{ResultCode::NotReady, retryDelayWhenNotReady, Microseconds(0)};
@@ -332,7 +338,8 @@
     TargetState &target = *placement.target_;
     if (target.isCold(now)) {
         const auto *service = request.table_->service(request.service_);
-        Policy::takeSlowStartToken(target.slowStart_, service->coldLimit_, entriesSharing(target), now);
+        Policy::takeSlowStartToken(target.slowStart_, service->coldLimit_, entriesSharing(target),
+                                   now);
     }
     return placement;
 }
--- a/Libraries/LibSteering/PlacementEngine.h
+++ b/Libraries/LibSteering/PlacementEngine.h
@@ -14,7 +14,8 @@
 class PlacementEngine
 {
 public:
-    PlacementEngine(const Observe::Settings &settings, const PlatformState &knowledge, TargetRegistry &registry);
+    PlacementEngine(const Observe::Settings &settings, const PlatformState &knowledge,
+                    TargetRegistry &registry);
 
     /// Sets, for each of the table's regions, how many entries run there.
     void setEntries(std::vector<std::size_t> entries) { entries_ = std::move(entries); }
--- a/Libraries/LibSteering/PlacementLearning.cpp
+++ b/Libraries/LibSteering/PlacementLearning.cpp
@@ -22,7 +22,7 @@
 } // namespace
 
 void PlacementEngine::noteAnswer(const RequestContext &request, const Placement &placement,
-                        Microseconds took, SteadyTime now)
+                                 Microseconds took, SteadyTime now)
 {
     TargetState &target = *placement.target_;
     const auto roundTrip = roundTrips_[target.region_];
@@ -48,7 +48,8 @@
     RouteWork &work = workOf(*request.route_, request.service_);
     if (sentBefore) {
         const auto age = std::chrono::duration_cast<Milliseconds>(now - *sentBefore);
-        Policy::learnRetention(memory_[request.service_], age, Policy::looksWarm(work.times_, worked));
+        Policy::learnRetention(memory_[request.service_], age,
+                               Policy::looksWarm(work.times_, worked));
     }
     auto &others = work.peerWarmth_;
     if (!placement.isKnownWarm_ && placement.isHome_)
@@ -68,7 +69,7 @@
 }
 
 void PlacementEngine::noteNoAnswer(const Placement &placement, SteadyTime sentAt, bool wasSent,
-                          SteadyTime now)
+                                   SteadyTime now)
 {
     TargetState &target = *placement.target_;
     noteFailure(placement, now);
--- a/Libraries/LibSteering/Knowledge.cpp
+++ b/Libraries/LibSteering/PlatformState.cpp
@@ -1,4 +1,4 @@
-#include "Knowledge.h"
+#include "PlatformState.h"
 
 #include <nlohmann/json.hpp>
 
@@ -50,7 +50,7 @@
 } // namespace
 
 PlatformState::PlatformState(const PlatformPort &port, const Observe::Settings &settings,
-                     Observe::DecisionLog &log)
+                             Observe::DecisionLog &log)
     : port_(port)
     , settings_(settings)
     , log_(log)
@@ -62,7 +62,8 @@
     return table == StoreTable::Operators ? operators_ : targets_;
 }
 
-void PlatformState::replace(StoreTable table, const Platform::StoredRows &rows, std::string_view source)
+void PlatformState::replace(StoreTable table, const Platform::StoredRows &rows,
+                            std::string_view source)
 {
     TableReplica &replica = table == StoreTable::Operators ? operators_ : targets_;
     if (!replica.replace(rows)) {
@@ -81,7 +82,7 @@
 }
 
 void PlatformState::apply(StoreTable table, const Platform::StoredRows &changes,
-                      std::string_view source)
+                          std::string_view source)
 {
     TableReplica &replica = table == StoreTable::Operators ? operators_ : targets_;
     const auto before = replica.lastChange();
@@ -186,7 +187,8 @@
     return ages;
 }
 
-std::string PlatformState::encodeForPeer(const KnownRevisions &known, const RemovalAges &removals) const
+std::string PlatformState::encodeForPeer(const KnownRevisions &known,
+                                         const RemovalAges &removals) const
 {
     json text = json::object();
     if (operators_.isKnown())
--- a/Libraries/LibSteering/Knowledge.h
+++ b/Libraries/LibSteering/PlatformState.h
@@ -33,7 +33,7 @@
 {
 public:
     PlatformState(const PlatformPort &port, const Observe::Settings &settings,
-              Observe::DecisionLog &log);
+                  Observe::DecisionLog &log);
 
     /// Records all rows of a table, or the changes since its revision.
     void replace(StoreTable table, const Platform::StoredRows &rows, std::string_view source);
--- a/Libraries/LibSteering/StoreFollower.h
+++ b/Libraries/LibSteering/StoreFollower.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Knowledge.h"
+#include "PlatformState.h"
 
 #include <functional>
 
--- a/Libraries/LibSteering/TargetRegistry.cpp
+++ b/Libraries/LibSteering/TargetRegistry.cpp
@@ -8,7 +8,7 @@
 using Observe::Event;
 
 TargetRegistry::TargetRegistry(const PlatformPort &port, const PlatformState &knowledge,
-                       Observe::DecisionLog &log)
+                               Observe::DecisionLog &log)
     : port_(port)
     , platformState_(knowledge)
     , log_(log)
--- a/Libraries/LibSteering/TargetRegistry.h
+++ b/Libraries/LibSteering/TargetRegistry.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "Knowledge.h"
+#include "PlatformState.h"
 
 #include <LibPolicy/LibPolicy.h>
 
@@ -118,7 +118,8 @@
 class TargetRegistry
 {
 public:
-    TargetRegistry(const PlatformPort &port, const PlatformState &knowledge, Observe::DecisionLog &log);
+    TargetRegistry(const PlatformPort &port, const PlatformState &knowledge,
+                   Observe::DecisionLog &log);
 
     /// Updates the registry from the platform state.
     void update(Model::SteadyTime now, const Policy::StoreEvidence &evidence);
--- a/Libraries/LibSteering/TargetRemovals.cpp
+++ b/Libraries/LibSteering/TargetRemovals.cpp
@@ -37,8 +37,8 @@
 
 /// Logs which target rows were known when the last request was sent to a leaving target. Only this
 /// line shows whether the update came too late or was disregarded.
-void TargetRegistry::logLeave(const TargetState &target, const char *how, Platform::Revision revision,
-                          SteadyTime now)
+void TargetRegistry::logLeave(const TargetState &target, const char *how,
+                              Platform::Revision revision, SteadyTime now)
 {
     const LastSend &last = target.lastSend_;
     log_.line(Event::TargetLeaveKnown)
@@ -70,7 +70,8 @@
         Policy::RemovedRegistration removed;
         removed.revision_ = replica.removedAt(id.value()).value_or(replica.knownRevision()).value();
         removed.noticedAt_ = removals_.try_emplace(id, now).first->second;
-        removed.isSimultaneousRemoval_ = static_cast<std::size_t>(unannounced) >= Policy::minSimultaneousRemovals;
+        removed.isSimultaneousRemoval_
+            = static_cast<std::size_t>(unannounced) >= Policy::minSimultaneousRemovals;
         const auto until = Policy::usableUntil(removed, evidence);
         if (until > now && !target->record_.isLeaving_) {
             target->removedRegistration_ = removed;
--- a/Services/Entryd/CrashGuard.cpp
+++ b/Services/Entryd/CrashGuard.cpp
@@ -162,7 +162,8 @@
              {"in_progress", std::to_string(losses.fingerprints_.size())},
              {"print", losses.fingerprints_.empty() ? "" : toText(losses.fingerprints_.front())}});
     }
-    Policy::noteEnded(crashRecords_, Policy::targetIncarnationKeyOf(target.target_.id_, losses.incarnation_),
+    Policy::noteEnded(crashRecords_,
+                      Policy::targetIncarnationKeyOf(target.target_.id_, losses.incarnation_),
                       losses.fingerprints_, now);
     losses.fingerprints_.clear();
     isStale_ = true;
@@ -206,7 +207,8 @@
             return now - entry.second.lostAt_ > Policy::connectionLossWindow;
         });
         hasLosses_ = !losses_.empty();
-        if (!isStale_ && crashRecords_.pending_.empty() && now - reviewedAt_ <= Policy::crashReviewInterval)
+        if (!isStale_ && crashRecords_.pending_.empty()
+            && now - reviewedAt_ <= Policy::crashReviewInterval)
             return;
         reviewedAt_ = now;
         isStale_ = false;
--- a/Services/Entryd/ServiceQueue.cpp
+++ b/Services/Entryd/ServiceQueue.cpp
@@ -278,7 +278,8 @@
     Policy::DomainCredits &credits = credits_[request.origin_];
     const Policy::DomainCredits before = credits;
     const auto views = domainViews(snapshot, plan, canFill, now);
-    const double debt = origin.isMoving_ ? Policy::maxDebtWhileShifting : Policy::maxDebtWhileStable;
+    const double debt
+        = origin.isMoving_ ? Policy::maxDebtWhileShifting : Policy::maxDebtWhileStable;
     const auto choice = Policy::chooseDomain(credits, origin.shares_, views, debt);
     if (choice.verdict_ == Policy::DomainVerdict::NoneUsable)
         return Placement(Rejection{ResultCode::NoTarget, origin.retryDelay_});
--- a/Services/Entryd/main.cpp
+++ b/Services/Entryd/main.cpp
@@ -119,7 +119,8 @@
             Model::fail(Model::ResultCode::MalformedRequest, path);
             return false;
         }
-        const auto fingerprint = Policy::fingerprintFromText(std::string_view(path).substr(start.size()));
+        const auto fingerprint
+            = Policy::fingerprintFromText(std::string_view(path).substr(start.size()));
         return fingerprint && guard_.releaseQuarantine(*fingerprint);
     }
 
--- a/Tests/LibModel/TestClientBlocks.cpp
+++ b/Tests/LibModel/TestClientBlocks.cpp
@@ -83,7 +83,8 @@
         CPPUNIT_ASSERT(blocks);
         CPPUNIT_ASSERT_EQUAL(std::string("B"),
                              blocks->locationOf("2001:db8:1:ffff::1")->region_.value());
-        CPPUNIT_ASSERT_EQUAL(std::string("A"), blocks->locationOf("2001:db8:2::1")->region_.value());
+        CPPUNIT_ASSERT_EQUAL(std::string("A"),
+                             blocks->locationOf("2001:db8:2::1")->region_.value());
         CPPUNIT_ASSERT(!blocks->locationOf("10.0.0.1"));
     }
 };
--- a/Tests/LibPolicy/SimulatedFleet.cpp
+++ b/Tests/LibPolicy/SimulatedFleet.cpp
@@ -80,14 +80,14 @@
     remoteExchanges_ += isLocal ? 0 : 1;
     crossDomainExchanges_ += isLocal && asker.instance_.domain_ != asked.instance_.domain_ ? 1 : 0;
     const auto known = Policy::heartbeatRecordsForRequest(asker.members_, asker.instance_,
-                                               asked.instance_.region_, now_, random_());
+                                                          asked.instance_.region_, now_, random_());
     receive(asked, asker.members_.at(asker.instance_.id_), now_);
     receiveUpdate(asked, {{}, known}, now_);
     sendCrashUpdate(asker, asked);
-    const auto news
-        = Policy::peerUpdateFor(asked.members_, asked.instance_, asker.instance_, known, now_, random_());
-    maxMembersInMessage_
-        = std::max({maxMembersInMessage_, known.size(), news.fullRecords_.size() + news.heartbeatRecords_.size()});
+    const auto news = Policy::peerUpdateFor(asked.members_, asked.instance_, asker.instance_, known,
+                                            now_, random_());
+    maxMembersInMessage_ = std::max({maxMembersInMessage_, known.size(),
+                                     news.fullRecords_.size() + news.heartbeatRecords_.size()});
     receive(asker, asked.members_.at(asked.instance_.id_), now_);
     receiveUpdate(asker, news, now_);
     sendCrashUpdate(asked, asker);
--- a/Tests/LibPolicy/TestCrashEvidence.cpp
+++ b/Tests/LibPolicy/TestCrashEvidence.cpp
@@ -42,7 +42,8 @@
     return now;
 }
 
-RequestStanding standing(const CrashRecords &records, const RequestFingerprint &fingerprint, SteadyTime now)
+RequestStanding standing(const CrashRecords &records, const RequestFingerprint &fingerprint,
+                         SteadyTime now)
 {
     return Policy::standingOf(Policy::viewOf(records, now), fingerprint, now).standing_;
 }
@@ -75,7 +76,8 @@
         const Policy::RequestText text{"POST", "h", "/a/b?c", "body", "pilot"};
         const auto fingerprint = Policy::fingerprintOf(text);
         CPPUNIT_ASSERT(fingerprint == Policy::fingerprintOf(text));
-        CPPUNIT_ASSERT(Policy::fingerprintPrefixOf(fingerprint) == Policy::fingerprintPrefixOf(text));
+        CPPUNIT_ASSERT(Policy::fingerprintPrefixOf(fingerprint)
+                       == Policy::fingerprintPrefixOf(text));
         const std::vector<Policy::RequestText> others = {{"GET", "h", "/a/b?c", "body", "pilot"},
                                                          {"POST", "g", "/a/b?c", "body", "pilot"},
                                                          {"POST", "h", "/a/b?d", "body", "pilot"},
@@ -340,7 +342,8 @@
         CPPUNIT_ASSERT(update.runs_.size() <= Policy::maxCrashesInUpdate);
         CPPUNIT_ASSERT(update.quarantines_.size() <= Policy::maxQuarantinesInUpdate);
         CPPUNIT_ASSERT(Policy::viewOf(records, now).prefixes_.size()
-                       <= Policy::maxCrashedIncarnations * Policy::maxSuspectsPerCrash + Policy::maxQuarantines);
+                       <= Policy::maxCrashedIncarnations * Policy::maxSuspectsPerCrash
+                              + Policy::maxQuarantines);
     }
 
     // Guards against a quarantine that reaches some instances of a large fleet too late.
--- a/Tests/LibPolicy/TestLoadUpdate.cpp
+++ b/Tests/LibPolicy/TestLoadUpdate.cpp
@@ -31,8 +31,8 @@
         Policy::learnLoad(load, 2, slots, start + Milliseconds(200));
         Policy::learnLoad(load, 12, slots, start);
         CPPUNIT_ASSERT(!Policy::shouldSendLoad(load, slots, start + Milliseconds(300)));
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(1, Policy::peerLoadByUpdates(load, 1, start + Milliseconds(300)),
-                                     1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(
+            1, Policy::peerLoadByUpdates(load, 1, start + Milliseconds(300)), 1e-9);
     }
 
     void expiredReportsAreIgnored()
--- a/Tests/LibPolicy/TestPeerUpdate.cpp
+++ b/Tests/LibPolicy/TestPeerUpdate.cpp
@@ -246,8 +246,8 @@
                        != informed.end();
             };
             for (std::uint64_t random = 0; random < 20; ++random) {
-                const auto *chosen = Policy::nearestPeerWith(node.members_, node.instance_, knowsMore,
-                                                         fleet.now_, random);
+                const auto *chosen = Policy::nearestPeerWith(node.members_, node.instance_,
+                                                             knowsMore, fleet.now_, random);
                 CPPUNIT_ASSERT(chosen);
                 CPPUNIT_ASSERT_EQUAL(informed.back(), chosen->instance_.domain_.value());
             }
--- a/Tests/LibPolicy/TestPlacement.cpp
+++ b/Tests/LibPolicy/TestPlacement.cpp
@@ -40,11 +40,11 @@
             int count = 0;
             const int window = *rc::gen::inRange(1, 400);
             for (int i = 0; i < window; ++i) {
-                count
-                    += Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting).domain_
-                               == 0
-                           ? 1
-                           : 0;
+                count += Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting)
+                                     .domain_
+                                 == 0
+                             ? 1
+                             : 0;
             }
             RC_ASSERT(std::abs(count - window * first) <= 2.0);
         });
@@ -61,7 +61,8 @@
         int limited = 0;
         for (int i = 0; i < 100; ++i) {
             const auto verdict
-                = Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting).verdict_;
+                = Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting)
+                      .verdict_;
             limited += verdict == DomainVerdict::ShiftLimited ? 1 : 0;
         }
         CPPUNIT_ASSERT_EQUAL(50, limited);
@@ -74,12 +75,14 @@
         Policy::DomainCredits credits;
         int ahead = 0;
         for (int i = 0; i < 100; ++i) {
-            ahead += Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting).domain_
+            ahead += Policy::chooseDomain(credits, shares, views, Policy::maxDebtWhileShifting)
+                                 .domain_
                              == 1
                          ? 1
                          : -1;
         }
-        CPPUNIT_ASSERT_MESSAGE(std::to_string(ahead), ahead <= 2 * Policy::maxDebtWhileShifting + 2);
+        CPPUNIT_ASSERT_MESSAGE(std::to_string(ahead),
+                               ahead <= 2 * Policy::maxDebtWhileShifting + 2);
     }
 
     void fullTargetsAreNeverChosen()
--- a/Tests/LibPolicy/TestRegistrationExpiry.cpp
+++ b/Tests/LibPolicy/TestRegistrationExpiry.cpp
@@ -46,7 +46,8 @@
     void refusedInstanceFollowsAnInstanceThatTheStoreServed()
     {
         const StoreEvidence alone{refused(), {}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), alone) == noticed + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), alone)
+                       == noticed + Policy::registrationExpiryGrace);
         const StoreEvidence informed{refused(), {refused(), reached(longBefore, removedIn)}};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), informed) < noticed);
     }
@@ -56,7 +57,8 @@
     {
         const auto recovered = noticed - Milliseconds(900);
         const StoreEvidence evidence{reached(recovered, removedIn), {}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == recovered + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence)
+                       == recovered + Policy::registrationExpiryGrace);
     }
 
     // Guards against waiting longer if another instance saw the store recover before this one.
@@ -65,7 +67,8 @@
         const auto first = noticed - Milliseconds(1500);
         const auto own = noticed - Milliseconds(200);
         const StoreEvidence evidence{reached(own, removedIn), {reached(first, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == first + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence)
+                       == first + Policy::registrationExpiryGrace);
     }
 
     // Guards against dropping expired targets on the report of a peer whose own call still hangs.
@@ -74,17 +77,20 @@
         const auto hanging = reached(longBefore, removedIn - 5);
         const auto recovered = noticed - Milliseconds(100);
         const StoreEvidence reader{reached(recovered, removedIn), {hanging}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader) == recovered + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), reader)
+                       == recovered + Policy::registrationExpiryGrace);
         // The instance with the hanging call follows the reader's report.
         const StoreEvidence follower{hanging, {reached(recovered, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), follower) == recovered + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), follower)
+                       == recovered + Policy::registrationExpiryGrace);
     }
 
     void nonReaderConsidersARemovalALeave()
     {
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), {}) < noticed);
         const StoreEvidence evidence{{}, {reached(noticed, removedIn)}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence) == noticed + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), evidence)
+                       == noticed + Policy::registrationExpiryGrace);
     }
 
     // Guards against considering an instance's start the store's recovery, or evidence that the
@@ -95,7 +101,8 @@
         const StoreStanding fresh{StoreContact::Reached, started, Model::distantPast, removedIn};
         CPPUNIT_ASSERT(Policy::usableUntil(removal(), {fresh, {}}) < noticed);
         const StoreEvidence other{refused(), {fresh}};
-        CPPUNIT_ASSERT(Policy::usableUntil(removal(), other) == started + Policy::registrationExpiryGrace);
+        CPPUNIT_ASSERT(Policy::usableUntil(removal(), other)
+                       == started + Policy::registrationExpiryGrace);
     }
 
     // Guards against dropping all targets at once after an outage during which calls kept waiting.
--- a/Tests/LibPolicy/TestTargetChoice.cpp
+++ b/Tests/LibPolicy/TestTargetChoice.cpp
@@ -98,7 +98,8 @@
 
     void urgentRequestsAreTakenLonger()
     {
-        Policy::AdmissionInputs request{Milliseconds(700), Milliseconds(1200), Milliseconds(300), 0};
+        Policy::AdmissionInputs request{Milliseconds(700), Milliseconds(1200), Milliseconds(300),
+                                        0};
         const auto judge = [&](int priority) {
             request.priority_ = priority;
             return Policy::evaluateAdmission(request, Milliseconds(300));
@@ -109,8 +110,8 @@
 
     void lateRequestsAreRefused()
     {
-        const Policy::AdmissionInputs request{Milliseconds(900), Milliseconds(800), Milliseconds(300),
-                                            0};
+        const Policy::AdmissionInputs request{Milliseconds(900), Milliseconds(800),
+                                              Milliseconds(300), 0};
         CPPUNIT_ASSERT(Policy::evaluateAdmission(request, Milliseconds(5000))
                        == Policy::AdmissionVerdict::TooLate);
     }
--- a/Tests/LibSteering/FakePlatform.cpp
+++ b/Tests/LibSteering/FakePlatform.cpp
@@ -141,7 +141,7 @@
 }
 
 void InstanceFixture::setOperatorRows(int version, std::uint64_t revision,
-                          const std::vector<std::string> &drained)
+                                      const std::vector<std::string> &drained)
 {
     std::vector<Platform::StoredRow> list = {row("table", operatorsText(version), revision)};
     for (const auto &domain : drained)
--- a/Tests/LibSteering/FakePlatform.h
+++ b/Tests/LibSteering/FakePlatform.h
@@ -38,7 +38,7 @@
     explicit InstanceFixture(const std::string &domain);
 
     void setOperatorRows(int version, std::uint64_t revision,
-                       const std::vector<std::string> &drained = {});
+                         const std::vector<std::string> &drained = {});
     void setTargetRows(std::uint64_t revision, std::vector<Platform::StoredRow> list);
     void update();
 
--- a/Tests/LibSteering/LoadedTargets.cpp
+++ b/Tests/LibSteering/LoadedTargets.cpp
@@ -45,8 +45,8 @@
 class Simulation
 {
 public:
-    Simulation(std::vector<InstanceFixture *> entries, const std::vector<SimulatedRequest> &requests,
-               const WorkModel &model)
+    Simulation(std::vector<InstanceFixture *> entries,
+               const std::vector<SimulatedRequest> &requests, const WorkModel &model)
         : entries_(std::move(entries))
         , requests_(requests)
         , model_(model)
@@ -190,7 +190,8 @@
     {
         release(work);
         results_[work.request_].isLost_ = true;
-        entries_[work.entry_]->placementEngine_.noteNoAnswer(work.placement_, work.sentAt_, true, now_);
+        entries_[work.entry_]->placementEngine_.noteNoAnswer(work.placement_, work.sentAt_, true,
+                                                             now_);
     }
 
     std::vector<InstanceFixture *> entries_;
--- a/Tests/LibSteering/LoadedTargets.h
+++ b/Tests/LibSteering/LoadedTargets.h
@@ -48,8 +48,8 @@
     Model::Milliseconds took_{0};
 };
 
-/// Simulates requests to targets with slots and queues, placed by one real PlacementEngine for each entry,
-/// without a network. Events run in the order of their times.
+/// Simulates requests to targets with slots and queues, placed by one real PlacementEngine for each
+/// entry, without a network. Events run in the order of their times.
 std::vector<SimulatedResult> simulate(std::vector<InstanceFixture *> entries,
                                       const std::vector<SimulatedRequest> &requests,
                                       const WorkModel &model);
--- a/Tests/LibSteering/TestDispatcher.cpp
+++ b/Tests/LibSteering/TestDispatcher.cpp
@@ -91,8 +91,9 @@
     Http::asio::io_context context_;
     InstanceFixture instance_{"r-a"};
     Steering::CrashGuard guard_{instance_.port_, instance_.log_};
-    Steering::Dispatcher dispatcher_{context_,       instance_.port_, instance_.platformState_,
-                                     instance_.placementEngine_, guard_,       instance_.log_};
+    Steering::Dispatcher dispatcher_{
+        context_, instance_.port_, instance_.platformState_, instance_.placementEngine_,
+        guard_,   instance_.log_};
     std::vector<std::unique_ptr<Http::Server>> servers_;
     std::map<std::string, Model::Address> addresses_;
     std::vector<std::string> receivingTargets_;
@@ -125,7 +126,8 @@
         fixture.startRequest();
         const std::string left = fixture.chosenTarget();
         const std::string other = left == "a" ? "b" : "a";
-        fixture.instance_.setTargetRows(3, {fixture.row(left, 3, "draining"), fixture.row(other, 2)});
+        fixture.instance_.setTargetRows(3,
+                                        {fixture.row(left, 3, "draining"), fixture.row(other, 2)});
         assertSentElsewhere(fixture, left);
     }
 
--- a/Tests/LibSteering/TestPeers.cpp
+++ b/Tests/LibSteering/TestPeers.cpp
@@ -9,8 +9,8 @@
 using Platform::Revision;
 using Platform::StoredRow;
 using Platform::StoredRows;
-using Steering::TableReplica;
 using Steering::PeerMessage;
+using Steering::TableReplica;
 
 StoredRow present(const std::string &key, std::uint64_t revision)
 {
@@ -255,7 +255,8 @@
         const auto bare = toBytes(message).size();
         constexpr std::size_t count = 100;
         for (std::size_t i = 0; i < count; ++i)
-            message.update_.heartbeatRecords_.push_back(makeMember("front-koper-a-10").heartbeatRecord_);
+            message.update_.heartbeatRecords_.push_back(
+                makeMember("front-koper-a-10").heartbeatRecord_);
         CPPUNIT_ASSERT(toBytes(message).size() - bare < 50 * count);
     }
 };
--- a/Tests/LibSteering/TestPlacementEngine.cpp
+++ b/Tests/LibSteering/TestPlacementEngine.cpp
@@ -29,8 +29,8 @@
 
 std::string placedAt(InstanceFixture &instance, std::uint64_t object)
 {
-    const auto placed
-        = instance.placementEngine_.place(Fakes::requestContext(instance, "read", object), instance.now_);
+    const auto placed = instance.placementEngine_.place(
+        Fakes::requestContext(instance, "read", object), instance.now_);
     const auto *placement = std::get_if<Placement>(&placed);
     return placement ? placement->target_->record_.id_.value() : "refused";
 }
@@ -67,8 +67,8 @@
         instance.setOperatorRows(3, 1);
         instance.setTargetRows(2, unevenTargets());
         for (std::uint64_t object = 0; object < 200; ++object) {
-            const auto placed
-                = instance.placementEngine_.place(Fakes::requestContext(instance, "read", object), instance.now_);
+            const auto placed = instance.placementEngine_.place(
+                Fakes::requestContext(instance, "read", object), instance.now_);
             const auto &placement = std::get<Placement>(placed);
             CPPUNIT_ASSERT_EQUAL(std::string("t"),
                                  placement.target_->record_.domain_.value().substr(0, 1));
@@ -106,9 +106,11 @@
         instance.setOperatorRows(3, 1);
         instance.setTargetRows(2, unevenTargets());
         auto requestContext = Fakes::requestContext(instance, "read", 5);
-        const auto first = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
+        const auto first
+            = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
         requestContext.tried_.push_back(first.target_->record_.id_);
-        const auto second = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
+        const auto second
+            = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
         CPPUNIT_ASSERT(first.target_ != second.target_);
     }
 
@@ -121,8 +123,8 @@
         instance.placementEngine_.setEntries({4, 4, 4});
         instance.setOperatorRows(3, 1);
         instance.setTargetRows(2, {Fakes::target("x", "gauging", "s-a", 2, "ready", 3000)});
-        const auto placed
-            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 1), instance.now_);
+        const auto placed = instance.placementEngine_.place(
+            Fakes::requestContext(instance, "read", 1), instance.now_);
         CPPUNIT_ASSERT(std::holds_alternative<Refusal>(placed));
         instance.now_ += Milliseconds(3001);
         CPPUNIT_ASSERT_EQUAL(std::string("x"), placedAt(instance, 1));
@@ -133,8 +135,8 @@
         InstanceFixture instance("r-a");
         instance.setOperatorRows(3, 1);
         instance.setTargetRows(2, {});
-        const auto placed
-            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 1), instance.now_);
+        const auto placed = instance.placementEngine_.place(
+            Fakes::requestContext(instance, "read", 1), instance.now_);
         const auto &refusal = std::get<Refusal>(placed);
         CPPUNIT_ASSERT(refusal.code_ == Model::ResultCode::NoTarget);
         CPPUNIT_ASSERT(refusal.retryAfter_ > Milliseconds(0));
@@ -145,8 +147,8 @@
     {
         InstanceFixture instance("r-a");
         instance.setOperatorRows(3, 1);
-        const auto placed
-            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 1), instance.now_);
+        const auto placed = instance.placementEngine_.place(
+            Fakes::requestContext(instance, "read", 1), instance.now_);
         const auto &refusal = std::get<Refusal>(placed);
         CPPUNIT_ASSERT(refusal.code_ == Model::ResultCode::NotReady);
         CPPUNIT_ASSERT(refusal.retryAfter_ > Milliseconds(0));
@@ -157,14 +159,14 @@
         InstanceFixture instance("r-a");
         const std::string text = Fakes::operatorsText(3) + "home_regions = t\n";
         instance.platformState_.replace(Steering::StoreTable::Operators,
-                                 Fakes::rows(1, {Fakes::row("table", text, 1)}), "test");
+                                        Fakes::rows(1, {Fakes::row("table", text, 1)}), "test");
         std::vector<Platform::StoredRow> list;
         for (const char *domain : {"r-a", "s-a", "t-a"})
             list.push_back(Fakes::target(domain, "transfers", domain, 2));
         instance.setTargetRows(2, list);
         for (std::uint64_t object = 0; object < 50; ++object) {
-            const auto placed
-                = instance.placementEngine_.place(Fakes::requestContext(instance, "order", object), instance.now_);
+            const auto placed = instance.placementEngine_.place(
+                Fakes::requestContext(instance, "order", object), instance.now_);
             CPPUNIT_ASSERT_EQUAL(std::string("t-a"),
                                  std::get<Placement>(placed).target_->record_.id_.value());
         }
--- a/Tests/LibSteering/TestPlatformState.cpp
+++ b/Tests/LibSteering/TestPlatformState.cpp
@@ -80,8 +80,10 @@
         const std::string encoded
             = upToDate.platformState_.encodeForPeer(partitioned.platformState_.knownRevisions());
         CPPUNIT_ASSERT(partitioned.platformState_.applyFromPeer(encoded, "peer"));
-        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7), partitioned.platformState_.table()->version().value());
-        CPPUNIT_ASSERT(partitioned.platformState_.drained().contains(Model::FailureDomainId("s-a")));
+        CPPUNIT_ASSERT_EQUAL(std::uint64_t(7),
+                             partitioned.platformState_.table()->version().value());
+        CPPUNIT_ASSERT(
+            partitioned.platformState_.drained().contains(Model::FailureDomainId("s-a")));
         CPPUNIT_ASSERT_EQUAL(std::size_t(4),
                              partitioned.platformState_.replica(StoreTable::Targets).rows().size());
         CPPUNIT_ASSERT(!partitioned.platformState_.applyFromPeer(encoded, "peer"));
@@ -126,7 +128,8 @@
         CPPUNIT_ASSERT(!early.platformState_.isBehind(lastChanges(late)));
         CPPUNIT_ASSERT(!late.platformState_.isBehind(lastChanges(early)));
         late.platformState_.apply(StoreTable::Targets,
-                              Fakes::rows(45, {Fakes::target("e", "gauging", "r-a", 45)}), "test");
+                                  Fakes::rows(45, {Fakes::target("e", "gauging", "r-a", 45)}),
+                                  "test");
         CPPUNIT_ASSERT(early.platformState_.isBehind(lastChanges(late)));
         CPPUNIT_ASSERT(early.platformState_.applyFromPeer(
             late.platformState_.encodeForPeer(early.platformState_.knownRevisions()), "peer"));
@@ -144,7 +147,8 @@
         list[0] = Fakes::target("a", "gauging", "r-a", 40, "draining");
         instance.setTargetRows(40, list);
         instance.platformState_.apply(StoreTable::Targets,
-                               Fakes::rows(30, {Fakes::target("a", "gauging", "r-a", 30)}), "test");
+                                      Fakes::rows(30, {Fakes::target("a", "gauging", "r-a", 30)}),
+                                      "test");
         instance.update();
         CPPUNIT_ASSERT_EQUAL(std::size_t(3), usable(instance, "gauging"));
     }
@@ -255,7 +259,8 @@
         const auto list = fourTargets();
         instance.setTargetRows(21, list);
         instance.setTargetRows(22, {list.front()});
-        CPPUNIT_ASSERT_EQUAL(std::size_t(3), instance.targetRegistry_.removalsToSend(instance.now_).size());
+        CPPUNIT_ASSERT_EQUAL(std::size_t(3),
+                             instance.targetRegistry_.removalsToSend(instance.now_).size());
         instance.setTargetRows(23, list);
         CPPUNIT_ASSERT(instance.targetRegistry_.removalsToSend(instance.now_).empty());
         instance.now_ += Policy::unobservedExpiryGrace;
@@ -269,7 +274,8 @@
         const Steering::RemovalAges ages = {{"a", Milliseconds(70)}, {"b", Milliseconds(0)}};
         CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.platformState_.encodeForPeer({}, ages))
                        == ages);
-        CPPUNIT_ASSERT(Steering::parseRemovalAges(instance.platformState_.encodeForPeer({})).empty());
+        CPPUNIT_ASSERT(
+            Steering::parseRemovalAges(instance.platformState_.encodeForPeer({})).empty());
         CPPUNIT_ASSERT(Steering::parseRemovalAges("damaged").empty());
     }
 
--- a/Tests/LibSteering/TestTargetRegistry.cpp
+++ b/Tests/LibSteering/TestTargetRegistry.cpp
@@ -81,9 +81,11 @@
     {
         auto instance = instanceWith(registration(5, 1000, 40));
         const auto requestContext = Fakes::requestContext(instance, "read", 7);
-        const auto placed = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
+        const auto placed
+            = std::get<Placement>(instance.placementEngine_.place(requestContext, instance.now_));
         instance.setTargetRows(6, {registration(6, 2000, 1)});
-        instance.placementEngine_.noteAnswer(requestContext, placed, Microseconds(150000), instance.now_);
+        instance.placementEngine_.noteAnswer(requestContext, placed, Microseconds(150000),
+                                             instance.now_);
         instance.placementEngine_.noteNoAnswer(placed, instance.now_, true, instance.now_);
         const auto after = stateIn(instance);
         CPPUNIT_ASSERT(after->objects_.empty());
@@ -211,8 +213,8 @@
         instance.targetRegistry_.all().at(TargetId("z"))->isReplaced_ = true;
         instance.dropMissing();
         CPPUNIT_ASSERT(takesWork(instance, "a"));
-        const auto placed
-            = instance.placementEngine_.place(Fakes::requestContext(instance, "read", 7), instance.now_);
+        const auto placed = instance.placementEngine_.place(
+            Fakes::requestContext(instance, "read", 7), instance.now_);
         CPPUNIT_ASSERT(std::get<Placement>(placed).target_ == stateIn(instance));
     }
 
@@ -227,10 +229,11 @@
         loads.push_back({12345, 9, Milliseconds(0)});
         receiver.targetRegistry_.receiveLoads(loads, receiver.now_);
         const auto &receivedLoad = stateIn(receiver)->sharedLoad_;
-        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::peerLoadByUpdates(receivedLoad, 0, receiver.now_), 1e-9);
+        CPPUNIT_ASSERT_DOUBLES_EQUAL(9, Policy::peerLoadByUpdates(receivedLoad, 0, receiver.now_),
+                                     1e-9);
         // A request would now have to wait there.
-        const auto placed
-            = receiver.placementEngine_.place(Fakes::requestContext(receiver, "read", 7), receiver.now_);
+        const auto placed = receiver.placementEngine_.place(
+            Fakes::requestContext(receiver, "read", 7), receiver.now_);
         const auto *placement = std::get_if<Placement>(&placed);
         CPPUNIT_ASSERT(!placement || placement->load_ >= 9);
     }
@@ -251,7 +254,7 @@
                     continue;
                 }
                 instance.setTargetRows(revision, {registration(revision, startedAt, revision,
-                                                          leaves ? "draining" : "ready")});
+                                                               leaves ? "draining" : "ready")});
                 if (startedAt >= latest) {
                     isLeaving = leaves || (startedAt == latest && isLeaving);
                     latest = startedAt;
--- a/Tests/Platform/StandIns.cpp
+++ b/Tests/Platform/StandIns.cpp
@@ -393,7 +393,8 @@
         ++runs_[id];
         requests_.push_back(request);
         arrivals_.push_back({incoming.arrivedAt_, id_, id, std::string(request[viaEntryHeader])});
-        isEnding = !faults.crashPathPrefix_.empty() && request.target().starts_with(faults.crashPathPrefix_);
+        isEnding = !faults.crashPathPrefix_.empty()
+                   && request.target().starts_with(faults.crashPathPrefix_);
         if (isEnding && !endAt_) {
             endAt_ = std::chrono::steady_clock::now() + faults.crashDelay_;
             crashPath_ = std::string(request.target());
