--- a/Libraries/LibHttp/BlockingClient.cpp
+++ b/Libraries/LibHttp/BlockingClient.cpp
@@ -23,7 +23,7 @@
 
     ExchangeResult result;
     const auto run = [&]() -> Task<void> {
-        result = co_await exchange(pool, options, message, anyAnswer);
+        result = co_await exchange(pool, options, message, acceptAnyAnswer);
     };
     asio::co_spawn(context, run(), asio::detached);
     context.run();
--- a/Libraries/LibHttp/ConnectionPool.cpp
+++ b/Libraries/LibHttp/ConnectionPool.cpp
@@ -90,8 +90,8 @@
     found->second.idle_.clear();
 }
 
-bool ConnectionPool::keepFresh(const Model::Address &address, Model::Milliseconds maxIdle,
-                               Model::Milliseconds fresh)
+bool ConnectionPool::pruneIdleConnections(const Model::Address &address,
+                                          Model::Milliseconds maxIdle, Model::Milliseconds fresh)
 {
     const auto found = peers_.find(address);
     if (found == peers_.end())
--- a/Libraries/LibHttp/ConnectionPool.h
+++ b/Libraries/LibHttp/ConnectionPool.h
@@ -66,8 +66,8 @@
 
     /// Closes idle connections to \a address that were last used more than \a maxIdle ago.
     /// Returns whether any remains that was last used at most \a fresh ago.
-    bool keepFresh(const Model::Address &address, Model::Milliseconds maxIdle,
-                   Model::Milliseconds fresh);
+    bool pruneIdleConnections(const Model::Address &address, Model::Milliseconds maxIdle,
+                              Model::Milliseconds fresh);
 
     /// Returns the number of open connections to \a address, idle or in use.
     std::size_t openCount(const Model::Address &address) const;
--- a/Libraries/LibHttp/Exchange.cpp
+++ b/Libraries/LibHttp/Exchange.cpp
@@ -44,8 +44,8 @@
 Task<Connected> connect(ConnectionPool &pool, const ExchangeOptions &options)
 {
     Connected result;
-    if (options.longestIdle_.count() > 0)
-        result.connection_ = pool.takeIdle(options.address_, options.longestIdle_);
+    if (options.maxIdle_.count() > 0)
+        result.connection_ = pool.takeIdle(options.address_, options.maxIdle_);
     result.isNew_ = !result.connection_;
     if (result.connection_)
         co_return result;
@@ -97,7 +97,7 @@
                                      asio::redirect_error(asio::use_awaitable, error));
     if (error)
         co_return failed(codeOf(error));
-    if (!options.takesUnframed_ && !hasLength(parser))
+    if (!options.acceptsUnframed_ && !hasLength(parser))
         co_return failed(ResultCode::TruncatedAnswer);
     co_await http::async_read(connection.stream_, connection.buffer_, parser,
                               asio::redirect_error(asio::use_awaitable, error));
@@ -114,7 +114,7 @@
 /// An idle connection's send buffer takes a body of at most this size at once.
 constexpr std::size_t maxUnwatchedBodyBytes = 16 * 1024;
 
-/// Stops sending a long body once maySend_ has returned false for sendPatience_.
+/// Stops sending a long body once maySend_ has returned false for withdrawalTimeout_.
 class SendWatch
 {
 public:
@@ -133,7 +133,7 @@
 private:
     void wait()
     {
-        timer_.expires_after(options_.watchPeriod_);
+        timer_.expires_after(options_.maySendInterval_);
         timer_.async_wait([this, alive = std::weak_ptr(alive_)](const ErrorCode &error) {
             if (!error && !alive.expired())
                 recheck();
@@ -142,9 +142,9 @@
 
     void recheck()
     {
-        refusedFor_
-            = options_.maySend_() ? Model::Milliseconds(0) : refusedFor_ + options_.watchPeriod_;
-        if (refusedFor_ < options_.sendPatience_) {
+        refusedFor_ = options_.maySend_() ? Model::Milliseconds(0)
+                                          : refusedFor_ + options_.maySendInterval_;
+        if (refusedFor_ < options_.withdrawalTimeout_) {
             wait();
             return;
         }
@@ -196,7 +196,7 @@
         // request id distinguishes them, so the matching answer that follows is not lost.
         ++foreign;
         const bool isEnd = !result.answer_->keep_alive();
-        if (isEnd || foreign > options.foreignAnswersSkipped_) {
+        if (isEnd || foreign > options.maxForeignAnswers_) {
             result = failed(ResultCode::ForeignAnswer);
             result.foreignAnswers_ = foreign;
             co_return result;
@@ -261,7 +261,7 @@
     }
     result.isNewConnection_ = connected.isNew_;
     if (connected.isNew_) {
-        result.connectTook_
+        result.connectDuration_
             = std::chrono::duration_cast<Model::Microseconds>(connectedAt - startedAt);
     }
     if (!result.answer_) {
@@ -280,10 +280,10 @@
     co_return result;
 }
 
-Task<Listening> knock(ConnectionPool &pool, const ExchangeOptions &options)
+Task<Listening> checkListener(ConnectionPool &pool, const ExchangeOptions &options)
 {
     ExchangeOptions fresh = options;
-    fresh.longestIdle_ = Model::Milliseconds(0);
+    fresh.maxIdle_ = Model::Milliseconds(0);
     Connected connected = co_await connect(pool, fresh);
     if (!connected.connection_)
         co_return connected.isRefused_ ? Listening::No : Listening::Unknown;
@@ -293,10 +293,10 @@
 
 Task<bool> prepareConnection(ConnectionPool &pool, const ExchangeOptions &options)
 {
-    co_return co_await knock(pool, options) == Listening::Yes;
+    co_return co_await checkListener(pool, options) == Listening::Yes;
 }
 
-bool anyAnswer(const Request &, const Response &)
+bool acceptAnyAnswer(const Request &, const Response &)
 {
     return true;
 }
--- a/Libraries/LibHttp/Exchange.h
+++ b/Libraries/LibHttp/Exchange.h
@@ -39,25 +39,26 @@
     Model::SteadyTime deadline_;
     Model::Milliseconds connectTimeout_{500};
     /// Idle connections unused for longer are not reused; zero forces a new connection.
-    Model::Milliseconds longestIdle_{10000};
+    Model::Milliseconds maxIdle_{10000};
     std::size_t connectionLimit_ = 64;
     std::size_t answerLimitBytes_ = 64 * 1024 * 1024;
     /// The local IP address to connect from; empty leaves the choice to the system.
     std::string sourceHost_;
     /// Accepts an answer without a length, which ends where its connection is closed. An answer
     /// whose connection is reset is never accepted.
-    bool takesUnframed_ = false;
+    bool acceptsUnframed_ = false;
     /// The number of answers to other requests that may be dropped before the matching one. With
     /// zero, the first such answer closes the connection.
-    int foreignAnswersSkipped_ = 0;
+    int maxForeignAnswers_ = 0;
     /// If set, outlives the exchange.
     ExchangeControl *control_ = nullptr;
     /// Called on an established connection just before the first byte is sent: if it returns false,
     /// nothing is sent and the connection stays open. While a long body is being sent, it is called
-    /// every watchPeriod_; once it has returned false for sendPatience_, the connection is closed.
+    /// every maySendInterval_; once it has returned false for withdrawalTimeout_, the connection is
+    /// closed.
     std::function<bool()> maySend_;
-    Model::Milliseconds watchPeriod_{100};
-    Model::Milliseconds sendPatience_{200};
+    Model::Milliseconds maySendInterval_{100};
+    Model::Milliseconds withdrawalTimeout_{200};
     /// Called just before the first byte is sent, after maySend_.
     std::function<void()> onFirstByte_;
 };
@@ -70,7 +71,7 @@
     std::optional<Response> answer_;
     bool isNewConnection_ = false;
     /// The time to establish a new connection; zero for a reused one.
-    Model::Microseconds connectTook_{0};
+    Model::Microseconds connectDuration_{0};
     /// The number of answers to other requests that were dropped.
     int foreignAnswers_ = 0;
     /// The connection was refused because nothing listens at the address.
@@ -106,10 +107,10 @@
 
 /// Probes with a new connection whether a process listens at options.address_. A connection that
 /// succeeds is kept idle in \a pool. Thread safety: as exchange().
-Task<Listening> knock(ConnectionPool &pool, const ExchangeOptions &options);
+Task<Listening> checkListener(ConnectionPool &pool, const ExchangeOptions &options);
 
 /// Accepts every answer, for peers whose answers carry no request id. Thread safety: any thread.
-bool anyAnswer(const Request &request, const Response &answer);
+bool acceptAnyAnswer(const Request &request, const Response &answer);
 
 /// Disables Nagle's algorithm and sets TCP_USER_TIMEOUT, which ends a connection whose data is not
 /// acknowledged.
--- a/Libraries/LibHttp/HeaderNames.h
+++ b/Libraries/LibHttp/HeaderNames.h
@@ -23,7 +23,7 @@
 // From an entry to a caller.
 constexpr std::string_view outcomeHeader = "Cassiacrank-Outcome";
 constexpr std::string_view codeHeader = "Cassiacrank-Code";
-constexpr std::string_view comeBackHeader = "Cassiacrank-Retry-After-Ms";
+constexpr std::string_view retryAfterHeader = "Cassiacrank-Retry-After-Ms";
 constexpr std::string_view instanceHeader = "Cassiacrank-Instance";
 constexpr std::string_view targetHeader = "Cassiacrank-Target";
 
--- a/Libraries/LibHttp/Server.h
+++ b/Libraries/LibHttp/Server.h
@@ -30,7 +30,7 @@
     Model::SteadyTime arrivedAt_;
     /// Returns whether the peer has closed its sending side, which cancels the request for peers
     /// that never half-close. Valid until the answer is returned.
-    std::function<bool()> isGone_;
+    std::function<bool()> hasPeerClosed_;
 };
 
 /// Answers one request. Must not throw. An answer without keep-alive ends its connection.
--- a/Libraries/LibHttp/ServerReading.cpp
+++ b/Libraries/LibHttp/ServerReading.cpp
@@ -118,7 +118,7 @@
     }
     incoming.remoteHost_ = session.remoteHost_;
     incoming.arrivedAt_ = std::chrono::steady_clock::now();
-    incoming.isGone_ = [weak = std::weak_ptr(sharedSession)] {
+    incoming.hasPeerClosed_ = [weak = std::weak_ptr(sharedSession)] {
         const auto session = weak.lock();
         return !session || session->hasEnded_ || session->isBroken_
                || (!session->isBetweenRequests_ && !session->isReading_
--- a/Libraries/LibPlatform/StoreCall.cpp
+++ b/Libraries/LibPlatform/StoreCall.cpp
@@ -27,10 +27,10 @@
     options.address_ = store.address_;
     options.connectTimeout_ = store.timeout_;
     options.deadline_ = std::chrono::steady_clock::now() + limit;
-    options.longestIdle_ = maxIdleTime;
+    options.maxIdle_ = maxIdleTime;
     options.connectionLimit_ = storeConnectionLimit;
     options.control_ = control;
-    co_return co_await Http::exchange(*store.pool_, options, request, Http::anyAnswer);
+    co_return co_await Http::exchange(*store.pool_, options, request, Http::acceptAnyAnswer);
 }
 
 std::string escaped(const std::string &text)
--- a/Libraries/LibSteering/Dispatcher.cpp
+++ b/Libraries/LibSteering/Dispatcher.cpp
@@ -193,18 +193,18 @@
     options.address_ = target.record_.address_;
     options.deadline_ = request.deadline_ + deadlineSlack;
     options.connectTimeout_ = placementEngine_.connectTimeoutFor(target);
-    options.longestIdle_ = request.route_->isIdempotent_ ? maxIdleTime : maxIdleTimeNonIdempotent;
+    options.maxIdle_ = request.route_->isIdempotent_ ? maxIdleTime : maxIdleTimeNonIdempotent;
     if (request.attempts_ > 0)
-        options.longestIdle_ = Milliseconds(0);
+        options.maxIdle_ = Milliseconds(0);
     options.connectionLimit_ = maxConnectionsPerTarget;
-    options.takesUnframed_ = true;
-    options.foreignAnswersSkipped_ = maxForeignAnswersSkipped;
+    options.acceptsUnframed_ = true;
+    options.maxForeignAnswers_ = maxForeignAnswersSkipped;
     options.control_ = &request.control_;
     options.maySend_ = [&] {
         return maySendTo(target);
     };
-    options.watchPeriod_ = Policy::tickPeriod;
-    options.sendPatience_ = Policy::sendToLeavingTimeout;
+    options.maySendInterval_ = Policy::tickPeriod;
+    options.withdrawalTimeout_ = Policy::sendToLeavingTimeout;
     options.onFirstByte_ = [&] {
         noteSend(request, target);
     };
@@ -221,10 +221,10 @@
     --target.ownInFlight_;
     target.sentRequests_.erase(sent);
     const auto now = steadyNow();
-    if (result.connectTook_.count() > 0) {
-        placementEngine_.noteConnect(target, result.connectTook_);
+    if (result.connectDuration_.count() > 0) {
+        placementEngine_.noteConnect(target, result.connectDuration_);
         // The pool had no idle connection. If connecting is slow, open one more than is in use.
-        if (result.connectTook_ >= slowConnectThreshold && !target.isConnecting_) {
+        if (result.connectDuration_ >= slowConnectThreshold && !target.isConnecting_) {
             options.control_ = nullptr;
             options.maySend_ = nullptr;
             options.onFirstByte_ = nullptr;
@@ -236,7 +236,8 @@
     if (result.stage_ != Http::ExchangeStage::NotConnected)
         ++request.attempts_;
     // The connect time is not part of the target's processing time.
-    const auto took = std::chrono::duration_cast<Microseconds>(now - sentAt) - result.connectTook_;
+    const auto took
+        = std::chrono::duration_cast<Microseconds>(now - sentAt) - result.connectDuration_;
     Attempt attempted = judge(request, placement, sentAt, std::move(result));
     if (attempted.answer_)
         placementEngine_.noteAnswer(request, placement, took, now);
@@ -261,7 +262,7 @@
             || !Policy::isIdleConnectionWorthwhile(target->use_, maxIdleTimeNonIdempotent, now))
             continue;
         const auto &address = target->record_.address_;
-        if (pool_.keepFresh(address, maxIdleTime, idleRefreshAge))
+        if (pool_.pruneIdleConnections(address, maxIdleTime, idleRefreshAge))
             continue;
         Http::ExchangeOptions options;
         options.address_ = address;
@@ -317,7 +318,7 @@
     options.connectTimeout_ = placementEngine_.connectTimeoutFor(*target);
     options.deadline_ = steadyNow() + options.connectTimeout_;
     options.connectionLimit_ = maxConnectionsPerTarget;
-    const auto listening = co_await Http::knock(pool_, options);
+    const auto listening = co_await Http::checkListener(pool_, options);
     const auto now = steadyNow();
     guard_.noteListening(*target, listening, now);
     if (listening == Http::Listening::No)
@@ -327,7 +328,7 @@
 void Dispatcher::sweepAbandoned()
 {
     for (RequestContext *request : requestsInProgress_) {
-        if (request->isAbandoned_ || !request->route_ || !request->incoming_.isGone_())
+        if (request->isAbandoned_ || !request->route_ || !request->incoming_.hasPeerClosed_())
             continue;
         request->isAbandoned_ = true;
         if (request->route_->isIdempotent_)
--- a/Libraries/LibSteering/PeerCalls.cpp
+++ b/Libraries/LibSteering/PeerCalls.cpp
@@ -57,7 +57,7 @@
     options.address_ = address;
     options.connectTimeout_ = gossipTimeout;
     options.deadline_ = std::chrono::steady_clock::now() + timeout;
-    options.longestIdle_ = maxIdleTime;
+    options.maxIdle_ = maxIdleTime;
     options.connectionLimit_ = maxConnectionsPerPeer;
     return options;
 }
@@ -77,7 +77,7 @@
     const Http::ExchangeOptions options = optionsTo(addressToDial(address), gossipTimeout);
     const Http::Request request = requestTo(
         address, http::verb::post, isAnnouncement ? announcePath : gossipPath, toBytes(message));
-    const auto result = co_await Http::exchange(pool_, options, request, Http::anyAnswer);
+    const auto result = co_await Http::exchange(pool_, options, request, Http::acceptAnyAnswer);
     countCall(isAnnouncement ? PeerCall::Announcement : PeerCall::Gossip, peer, request, result);
     if (isAnnouncement || !result.answer_ || result.answer_->result() != http::status::ok)
         co_return;
@@ -111,7 +111,7 @@
     const Http::ExchangeOptions options = optionsTo(addressToDial(address), fetchTimeout);
     const Http::Request request = requestTo(
         address, http::verb::get, stateRequestTarget(platformState_.knownRevisions()), "");
-    const auto result = co_await Http::exchange(pool_, options, request, Http::anyAnswer);
+    const auto result = co_await Http::exchange(pool_, options, request, Http::acceptAnyAnswer);
     pendingFetches_.erase(chosen.id_);
     countCall(PeerCall::PlatformState, chosen, request, result);
     const bool isOk = result.answer_ && result.answer_->result() == http::status::ok;
--- a/Services/Entryd/Attempts.cpp
+++ b/Services/Entryd/Attempts.cpp
@@ -76,18 +76,18 @@
     options.address_ = Observe::dialAddress(settings_, target->target_.address_);
     options.deadline_ = attemptDeadline(request, *target, number);
     options.connectTimeout_ = connectTimeout;
-    options.longestIdle_ = request.isIdempotent_ ? maxIdleAge : maxIdleAgeNonIdempotent;
+    options.maxIdle_ = request.isIdempotent_ ? maxIdleAge : maxIdleAgeNonIdempotent;
     // A retry uses a new connection, because the idle connections may be the cause of the failure.
     if (number.count_ > 1)
-        options.longestIdle_ = Milliseconds(0);
+        options.maxIdle_ = Milliseconds(0);
     options.connectionLimit_ = Policy::connectionsForThread(
         target->target_.connections_, entries, static_cast<std::size_t>(settings_.entryThreads_));
 
     options.maySend_ = [&] {
         return !target->isLeaving_.load();
     };
-    options.watchPeriod_ = Policy::tickPeriod;
-    options.sendPatience_ = Policy::sendToLeavingTimeout;
+    options.maySendInterval_ = Policy::tickPeriod;
+    options.withdrawalTimeout_ = Policy::sendToLeavingTimeout;
     options.onFirstByte_ = [&] {
         noteSend(*target, steadyNow());
     };
@@ -119,7 +119,7 @@
     options.address_ = Observe::dialAddress(settings_, target->target_.address_);
     options.connectTimeout_ = connectTimeout;
     options.deadline_ = steadyNow() + connectTimeout;
-    const auto listening = co_await Http::knock(pool_, options);
+    const auto listening = co_await Http::checkListener(pool_, options);
     guard_.noteListening(*target, listening, steadyNow());
     if (listening == Http::Listening::No)
         noteTargetLost(*target, true);
@@ -179,7 +179,7 @@
     options.address_ = Observe::dialAddress(settings_, place.address_);
     options.deadline_ = request.deadline_;
     options.connectTimeout_ = Milliseconds(1000);
-    options.longestIdle_ = request.isIdempotent_ ? maxIdleAge : maxIdleAgeNonIdempotent;
+    options.maxIdle_ = request.isIdempotent_ ? maxIdleAge : maxIdleAgeNonIdempotent;
     options.connectionLimit_ = maxConnectionsToEntry;
     const Http::Request message = cell_.read([&](const EntrySnapshot *snapshot) {
         return messageForEntry(request, *snapshot->table_, place.domain_, steadyNow());
@@ -218,7 +218,7 @@
     requestResult.outcome_ = isNotRun ? Outcome::NotRun : Outcome::Unknown;
     if (isNotRun)
         requestResult.retryDelay_
-            = Milliseconds(numberIn(answer[viewOf(Http::comeBackHeader)], 1000));
+            = Milliseconds(numberIn(answer[viewOf(Http::retryAfterHeader)], 1000));
     co_return requestResult;
 }
 
--- a/Services/Entryd/Dispatcher.cpp
+++ b/Services/Entryd/Dispatcher.cpp
@@ -279,7 +279,7 @@
     if (requestResult.retryDelay_ && requestResult.retryDelay_->count() > 0) {
         const auto seconds = (requestResult.retryDelay_->count() + 999) / 1000;
         answer.set(Http::http::field::retry_after, std::to_string(seconds));
-        answer.set(viewOf(Http::comeBackHeader),
+        answer.set(viewOf(Http::retryAfterHeader),
                    std::to_string(requestResult.retryDelay_->count()));
     }
     answer.set(viewOf(Http::outcomeHeader), std::string(toText(requestResult.outcome_)));
--- a/Tests/Harness/Process.cpp
+++ b/Tests/Harness/Process.cpp
@@ -80,7 +80,7 @@
     wait(Model::Milliseconds(5000));
 }
 
-bool Process::minds(int number) const
+bool Process::handlesSignal(int number) const
 {
     std::ifstream file("/proc/" + std::to_string(pid_) + "/status");
     for (std::string name, value; file >> name;) {
--- a/Tests/Harness/Process.h
+++ b/Tests/Harness/Process.h
@@ -27,7 +27,7 @@
     bool isRunning() const { return pid_ > 0; }
     /// Returns whether the process blocks or handles the signal. A signal that arrives while the
     /// kernel still loads the program terminates it, whatever handlers the program installs.
-    bool minds(int number) const;
+    bool handlesSignal(int number) const;
     /// Returns the consumed processor time in seconds.
     double cpuSeconds() const;
     const std::string &name() const { return name_; }
--- a/Tests/Harness/Samples.cpp
+++ b/Tests/Harness/Samples.cpp
@@ -28,7 +28,8 @@
     return lines;
 }
 
-std::vector<SampleLine> ofStream(const std::vector<SampleLine> &lines, const std::string &stream)
+std::vector<SampleLine> samplesOfStream(const std::vector<SampleLine> &lines,
+                                        const std::string &stream)
 {
     std::vector<SampleLine> result;
     std::copy_if(lines.begin(), lines.end(), std::back_inserter(result), [&](const auto &line) {
@@ -37,7 +38,7 @@
     return result;
 }
 
-std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &outcome)
+std::size_t countOutcome(const std::vector<SampleLine> &lines, const std::string &outcome)
 {
     return static_cast<std::size_t>(
         std::count_if(lines.begin(), lines.end(), [&](const auto &line) {
@@ -55,7 +56,7 @@
             continue;
         text << line.stream_ << " sent=" << line.sentSeconds_ << " told=" << line.outcome_
              << " code=" << line.code_ << " entry=" << line.entry_ << " sends=" << line.sends_
-             << " ms=" << line.latencyMs_ << " late_ms=" << line.lateMs_ << "\n";
+             << " ms=" << line.latencyMs_ << " late_ms=" << line.sendDelayMs_ << "\n";
     }
     return text.str();
 }
--- a/Tests/Harness/Samples.h
+++ b/Tests/Harness/Samples.h
@@ -20,19 +20,20 @@
     std::string target_;
     std::string entry_;
     /// Part of the latency that passed before the load tool sent the request.
-    double lateMs_ = 0;
+    double sendDelayMs_ = 0;
 };
 
 /// Reads a sample file. Throws if it does not exist.
 std::vector<SampleLine> readSamples(const std::string &path);
 
 /// Returns the lines whose stream name begins with \a stream.
-std::vector<SampleLine> ofStream(const std::vector<SampleLine> &lines, const std::string &stream);
+std::vector<SampleLine> samplesOfStream(const std::vector<SampleLine> &lines,
+                                        const std::string &stream);
 
 /// Returns one line for each of the first requests that were not run, for assertion messages.
 std::string refusalsOf(const std::vector<SampleLine> &lines);
 
-std::size_t countTold(const std::vector<SampleLine> &lines, const std::string &outcome);
+std::size_t countOutcome(const std::vector<SampleLine> &lines, const std::string &outcome);
 
 /// Returns the latency quantile of the answered requests in milliseconds.
 double latencyMs(const std::vector<SampleLine> &lines, double fraction);
--- a/Tests/Harness/Site.h
+++ b/Tests/Harness/Site.h
@@ -23,7 +23,7 @@
     bool hasExponentialTimes_ = true;
     double coldFactor_ = 1;
     /// Targets crash while they run a request whose path contains this.
-    std::string endUnder_;
+    std::string crashPath_;
     /// Number of instances to start, at most 12; the first instance of each failure domain first.
     std::size_t instances_ = 12;
     int lookupTtlMs_ = 1000;
--- a/Tests/Harness/SiteLayout.cpp
+++ b/Tests/Harness/SiteLayout.cpp
@@ -90,7 +90,7 @@
                "--mean_ms=" + std::to_string(meanMs),
                std::string("--exponential=") + (options_.hasExponentialTimes_ ? "true" : "false"),
                "--cold_factor=" + std::to_string(options_.coldFactor_),
-               "--end_under=" + options_.endUnder_,
+               "--end_under=" + options_.crashPath_,
                "--seed=" + std::to_string(++seed)};
         targets_.push_back({row, makeProcess(row.id_.value(), std::move(command))});
     }
--- a/Tests/Integration/TestCrashes.cpp
+++ b/Tests/Integration/TestCrashes.cpp
@@ -142,7 +142,7 @@
     {
         Harness::SiteOptions options;
         options.instances_ = 6;
-        options.endUnder_ = "poison";
+        options.crashPath_ = "poison";
         Site site(options);
         site.start();
         Supervisor supervisor(site);
--- a/Tests/Integration/TestOverload.cpp
+++ b/Tests/Integration/TestOverload.cpp
@@ -20,7 +20,7 @@
 
 double shareWithOutcome(const std::vector<Harness::SampleLine> &lines, const std::string &outcome)
 {
-    return double(Harness::countTold(lines, outcome)) / double(lines.size());
+    return double(Harness::countOutcome(lines, outcome)) / double(lines.size());
 }
 
 class TestOverload : public CppUnit::TestFixture
@@ -63,13 +63,14 @@
         Integration::assertTruth(result);
         std::vector<Harness::SampleLine> before;
         std::vector<Harness::SampleLine> during;
-        for (const auto &line : Harness::ofStream(result.samples_, "small")) {
+        for (const auto &line : Harness::samplesOfStream(result.samples_, "small")) {
             if (line.sentSeconds_ < 6)
                 before.push_back(line);
             if (line.sentSeconds_ >= 7)
                 during.push_back(line);
         }
-        CPPUNIT_ASSERT_EQUAL_MESSAGE(result.log_, during.size(), Harness::countTold(during, "run"));
+        CPPUNIT_ASSERT_EQUAL_MESSAGE(result.log_, during.size(),
+                                     Harness::countOutcome(during, "run"));
         const double median = Harness::latencyMs(during, 0.5) / Harness::latencyMs(before, 0.5);
         CPPUNIT_ASSERT_MESSAGE(std::to_string(median), median < 1.1);
         const double tail = Harness::latencyMs(during, 0.99) / Harness::latencyMs(before, 0.99);
@@ -106,7 +107,7 @@
     static std::string describe(const Harness::SampleLine &line)
     {
         return std::to_string(line.latencyMs_) + " ms, of which the load tool was late by "
-               + std::to_string(line.lateMs_);
+               + std::to_string(line.sendDelayMs_);
     }
 
     /// Plays \a factor times the capacity with several load tools. A single tool needs half a core
@@ -175,7 +176,7 @@
             const auto counts = site.targetCounts(target.row_.id_.value());
             CPPUNIT_ASSERT(counts.at("most_in_flight").get<int>() <= target.row_.slots_.value());
         }
-        const double goodput = double(Harness::countTold(result.samples_, "run")) / 8 / capacity;
+        const double goodput = double(Harness::countOutcome(result.samples_, "run")) / 8 / capacity;
         CPPUNIT_ASSERT_MESSAGE(std::to_string(goodput), goodput > 0.8);
     }
 };
--- a/Tests/Integration/TestStops.cpp
+++ b/Tests/Integration/TestStops.cpp
@@ -51,7 +51,7 @@
         Integration::assertTruth(result);
         CPPUNIT_ASSERT(result.samples_.size() > 3000);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(result.log_, result.samples_.size(),
-                                     Harness::countTold(result.samples_, "run"));
+                                     Harness::countOutcome(result.samples_, "run"));
     }
 
     // Guards against a replaced instance that serves only 5 or 10 s after its start: entryd and
@@ -99,7 +99,7 @@
         const auto result = Integration::finish(site, *load, "leaving");
         Integration::assertTruth(result);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(result.log_, result.samples_.size(),
-                                     Harness::countTold(result.samples_, "run"));
+                                     Harness::countOutcome(result.samples_, "run"));
     }
 };
 
--- a/Tests/Integration/TestTruthUnderFaults.cpp
+++ b/Tests/Integration/TestTruthUnderFaults.cpp
@@ -41,8 +41,8 @@
         site.switchTarget("transfers-02", {{"truncate", true}});
         const auto result = Integration::finish(site, *load, "bad");
         Integration::assertTruth(result);
-        const auto gets = Harness::ofStream(result.samples_, "get");
-        CPPUNIT_ASSERT_MESSAGE(result.log_, Harness::countTold(gets, "run") > gets.size() * 0.9);
+        const auto gets = Harness::samplesOfStream(result.samples_, "get");
+        CPPUNIT_ASSERT_MESSAGE(result.log_, Harness::countOutcome(gets, "run") > gets.size() * 0.9);
     }
 
     // Guards against any path that runs a request without holding its idempotency claim, so that it
@@ -92,7 +92,7 @@
                                result.samples_.size() >= 10000);
         CPPUNIT_ASSERT_EQUAL_MESSAGE(result.log_, 0.0, result.judged("answered_but_not_run"));
         // Refusing everything must not satisfy the test.
-        const double answered = double(Harness::countTold(result.samples_, "run"));
+        const double answered = double(Harness::countOutcome(result.samples_, "run"));
         CPPUNIT_ASSERT_MESSAGE(result.log_, answered > 0.5 * double(result.samples_.size()));
     }
 
@@ -112,7 +112,7 @@
         site.switchProxy("*", "freeze");
         const auto result = Integration::finish(site, *load, "silent");
         Integration::assertTruth(result);
-        const auto answered = Harness::countTold(result.samples_, "run");
+        const auto answered = Harness::countOutcome(result.samples_, "run");
         CPPUNIT_ASSERT_MESSAGE(result.log_, answered > 0.98 * double(result.samples_.size()));
     }
 
--- a/Tests/Integration/TestWholePath.cpp
+++ b/Tests/Integration/TestWholePath.cpp
@@ -21,7 +21,7 @@
     options.deadline_ = std::chrono::steady_clock::now() + Milliseconds(5000);
     Http::ExchangeResult result;
     const auto run = [&]() -> Http::Task<void> {
-        result = co_await Http::exchange(pool, options, request, Http::anyAnswer);
+        result = co_await Http::exchange(pool, options, request, Http::acceptAnyAnswer);
     };
     Http::asio::co_spawn(context, run(), Http::asio::detached);
     context.run();
--- a/Tests/LibHttp/TestExchange.cpp
+++ b/Tests/LibHttp/TestExchange.cpp
@@ -133,7 +133,7 @@
         const ScriptedPeer peer({late + answerWith("mine", "Content-Length: 2\r\n", "ok"),
                                  late + late + answerWith("mine", "Content-Length: 2\r\n", "ok")});
         Http::ExchangeOptions options;
-        options.foreignAnswersSkipped_ = 1;
+        options.maxForeignAnswers_ = 1;
         const auto result = exchangeWith(peer.address(), options);
         CPPUNIT_ASSERT(result.answer_);
         CPPUNIT_ASSERT_EQUAL(std::string("ok"), result.answer_->body());
@@ -146,7 +146,7 @@
         const ScriptedPeer peer({answerWith("mine", "", "whole"), answerWith("mine", "", "whole")});
         CPPUNIT_ASSERT(!exchangeWith(peer.address()).answer_);
         Http::ExchangeOptions options;
-        options.takesUnframed_ = true;
+        options.acceptsUnframed_ = true;
         const auto result = exchangeWith(peer.address(), options);
         CPPUNIT_ASSERT(result.answer_);
         CPPUNIT_ASSERT_EQUAL(std::string("whole"), result.answer_->body());
@@ -165,7 +165,7 @@
 
         Http::Task<void> run()
         {
-            result_ = co_await Http::exchange(pool_, options_, request_, Http::anyAnswer);
+            result_ = co_await Http::exchange(pool_, options_, request_, Http::acceptAnyAnswer);
         }
 
         Http::asio::io_context context_;
--- a/Tests/LibSteering/TestDispatcher.cpp
+++ b/Tests/LibSteering/TestDispatcher.cpp
@@ -57,7 +57,7 @@
         incoming.message_.set("Id", "1");
         incoming.message_.set("Key", "7");
         incoming.arrivedAt_ = std::chrono::steady_clock::now();
-        incoming.isGone_ = [] {
+        incoming.hasPeerClosed_ = [] {
             return false;
         };
         Http::asio::co_spawn(context_, answerRequest(std::move(incoming)), Http::asio::detached);
--- a/Tests/Measure/Figures.cpp
+++ b/Tests/Measure/Figures.cpp
@@ -99,17 +99,17 @@
 void printCommon(const std::vector<SampleLine> &samples, const std::string &log,
                  const Example &example, int seconds)
 {
-    const auto small = Harness::ofStream(samples, "small");
-    const auto bulk = Harness::ofStream(samples, "bulk");
+    const auto small = Harness::samplesOfStream(samples, "small");
+    const auto bulk = Harness::samplesOfStream(samples, "bulk");
     print("small_p50", Harness::latencyMs(small, 0.5), "ms");
     print("small_p99", Harness::latencyMs(small, 0.99), "ms");
     print("bulk_p99", Harness::latencyMs(bulk, 0.99), "ms");
-    const double busyRun
-        = static_cast<double>(Harness::countTold(small, "run") + Harness::countTold(bulk, "run"));
+    const double busyRun = static_cast<double>(Harness::countOutcome(small, "run")
+                                               + Harness::countOutcome(bulk, "run"));
     print("goodput_of_capacity", busyRun / seconds / (3 * example.capacity_), "ratio");
-    const auto notRun = static_cast<double>(Harness::countTold(samples, "not-run"));
+    const auto notRun = static_cast<double>(Harness::countOutcome(samples, "not-run"));
     print("refused", notRun / static_cast<double>(samples.size()), "ratio");
-    const auto smallRefused = static_cast<double>(Harness::countTold(small, "not-run"));
+    const auto smallRefused = static_cast<double>(Harness::countOutcome(small, "not-run"));
     print("small_refused",
           smallRefused / static_cast<double>(std::max<std::size_t>(1, small.size())), "ratio");
     for (const std::string name : {"duplicated", "not_run_but_run"})
--- a/Tests/Measure/Scenarios.cpp
+++ b/Tests/Measure/Scenarios.cpp
@@ -102,11 +102,11 @@
     });
     scenario.measure_ = [=](Site &site, const std::vector<SampleLine> &samples) {
         const std::string region = site.table().domains()[domain].region_.value();
-        const auto shifted = Harness::ofStream(samples, "bulk-" + region);
+        const auto shifted = Harness::samplesOfStream(samples, "bulk-" + region);
         print("shift_peak_of_cap", shiftPeak(shifted, site, 0, 22), "ratio");
         // Without a shift, the same sum shows the sampling noise of the counts.
         const std::string calm = site.table().regions().back().id_.value();
-        const auto still = Harness::ofStream(samples, "bulk-" + calm);
+        const auto still = Harness::samplesOfStream(samples, "bulk-" + calm);
         print("shift_scatter_of_cap", shiftPeak(still, site, 0, 22), "ratio");
         double last = at;
         for (const auto &line : own) {
--- a/Tests/Measure/SingleRuns.cpp
+++ b/Tests/Measure/SingleRuns.cpp
@@ -75,7 +75,7 @@
     print("pool_wait_ratio", Harness::quantile(waits, 0.99) / Harness::quantile(single, 0.99),
           "ratio");
     print("pool_refused",
-          static_cast<double>(Harness::countTold(samples, "not-run"))
+          static_cast<double>(Harness::countOutcome(samples, "not-run"))
               / static_cast<double>(samples.size()),
           "ratio");
 }
--- a/Tests/Platform/TestTranslation.cpp
+++ b/Tests/Platform/TestTranslation.cpp
@@ -181,9 +181,9 @@
     void loadReportsAreRead()
     {
         Http::Response answer;
-        CPPUNIT_ASSERT(!Adapter::loadIn(answer));
+        CPPUNIT_ASSERT(!Adapter::loadReportIn(answer));
         answer.set("X-Cassiacrank-Server-Load", "3,2,8");
-        const auto load = Adapter::loadIn(answer);
+        const auto load = Adapter::loadReportIn(answer);
         // One of the three running requests is the one that this answer belongs to.
         CPPUNIT_ASSERT_EQUAL(std::int64_t(2), load->running_);
         CPPUNIT_ASSERT_EQUAL(std::int64_t(2), load->waiting_);
--- a/Tests/Soak/Callers.cpp
+++ b/Tests/Soak/Callers.cpp
@@ -108,13 +108,13 @@
     options.address_ = address;
     options.connectTimeout_ = lookupTimeout;
     options.deadline_ = std::chrono::steady_clock::now() + lookupTimeout;
-    options.longestIdle_ = Milliseconds(0);
+    options.maxIdle_ = Milliseconds(0);
     const char *region = random_() % 2 == 0 ? "r" : "s";
     const std::string target
         = std::string("/-/resolve?name=h.example&region=") + region + "&zone=" + region + "-a";
     Http::Request request(http::verb::get, target, 11);
     request.set(http::field::host, toText(address));
-    const auto result = co_await Http::exchange(pool, options, request, Http::anyAnswer);
+    const auto result = co_await Http::exchange(pool, options, request, Http::acceptAnyAnswer);
     std::vector<std::string> entries;
     if (!result.answer_ || result.answer_->result() != http::status::ok)
         co_return entries;
@@ -147,7 +147,7 @@
     options.address_ = entry;
     options.connectTimeout_ = lookupTimeout;
     options.deadline_ = record.sentAt_ + requestTimeout + lateSlack;
-    const auto result = co_await Http::exchange(pool, options, request, Http::anyAnswer);
+    const auto result = co_await Http::exchange(pool, options, request, Http::acceptAnyAnswer);
     record.endedAt_ = std::chrono::steady_clock::now();
     record.stage_ = result.stage_;
     record.code_ = result.code_;
--- a/Tests/Soak/SoakSite.cpp
+++ b/Tests/Soak/SoakSite.cpp
@@ -226,7 +226,7 @@
     if (!instance.process_->isRunning() || stop != stops_.end())
         return;
     Harness::waitUntil(startTimeout, [&] {
-        return instance.process_->minds(SIGTERM);
+        return instance.process_->handlesSignal(SIGTERM);
     });
     instance.process_->signal(SIGTERM);
     stops_[number] = {steadyNow(), false};
--- a/Tests/StandIns/WorkerStandIn.cpp
+++ b/Tests/StandIns/WorkerStandIn.cpp
@@ -116,7 +116,7 @@
                 co_return true;
             if (now >= deadline)
                 co_return false;
-            if (request.isGone_()) {
+            if (request.hasPeerClosed_()) {
                 ++cancelled_;
                 co_return false;
             }
--- a/Utilities/Loadtool/Load.cpp
+++ b/Utilities/Loadtool/Load.cpp
@@ -182,7 +182,7 @@
         Http::Request request(Http::http::verb::get, target, 11);
         request.set(Http::http::field::host, Model::toText(exchange.address_));
         const auto result
-            = co_await Http::exchange(caller.pool_, exchange, request, Http::anyAnswer);
+            = co_await Http::exchange(caller.pool_, exchange, request, Http::acceptAnyAnswer);
         if (!result.answer_ || result.answer_->result() != Http::http::status::ok)
             continue;
         const auto answer = nlohmann::json::parse(result.answer_->body(), nullptr, false);
@@ -231,7 +231,8 @@
         co_await Http::sleepFor(stream.delay_);
     }
     const Http::Request request = makeRequest(stream, caller, sample);
-    const auto result = co_await Http::exchange(caller.pool_, exchange, request, Http::anyAnswer);
+    const auto result
+        = co_await Http::exchange(caller.pool_, exchange, request, Http::acceptAnyAnswer);
     if (result.stage_ == Http::ExchangeStage::NotConnected)
         co_return false;
     if (stream.delay_ > Milliseconds(0)) {
