--- a/Libraries/LibModel/Row.h
+++ b/Libraries/LibModel/Row.h
@@ -30,7 +30,7 @@
     std::map<std::string, std::string> cells_;
     /// The version of the table in which the row last changed; orders deltas between peers.
     TableVersion changedAt_;
-    /// Marks a tombstone: a deleted row is kept so that a peer that still has it deletes it too.
+    /// The row is deleted; it is kept so that a peer that still has it deletes it too.
     bool deleted_ = false;
 
     bool operator==(const Row &) const = default;
--- a/Libraries/LibPlatform/Edits.cpp
+++ b/Libraries/LibPlatform/Edits.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 /// Attempts per edit: conflicts on other rows and lost confirmations are retried.
-constexpr int maxAttempts = 8;
+constexpr int maxCommitTries = 8;
 
 std::string auditKey(Model::TableVersion version)
 {
@@ -156,7 +156,7 @@
 Task<std::optional<Model::TableVersion>> commitEdit(Store &store, const Edit &edit)
 {
     bool mayHaveTakenEffect = false;
-    for (int attempt = 0; attempt < maxAttempts; ++attempt) {
+    for (int attempt = 0; attempt < maxCommitTries; ++attempt) {
         // A confirmation can be lost although the write took effect. The edit's own row, written
         // in the same transaction, shows this; without it a retried edit would be applied twice.
         const auto accepted = co_await acceptedVersion(store, edit.id_);
--- a/Libraries/LibPolicy/Liveness.h
+++ b/Libraries/LibPolicy/Liveness.h
@@ -73,7 +73,7 @@
 /// still run.
 constexpr Model::Milliseconds memberCountingTime{15000};
 
-/// Silent instances are still contacted occasionally for this duration after their last heartbeat,
+/// Silent instances are still contacted now and then for this duration after their last heartbeat,
 /// so that two parts of a fleet that were partitioned for minutes rejoin.
 constexpr Model::Milliseconds silentMemberRetention{600000};
 
--- a/Libraries/LibPolicy/Outcome.cpp
+++ b/Libraries/LibPolicy/Outcome.cpp
@@ -38,7 +38,7 @@
 
 bool reserveRetryCredit(RetryBudget &budget, bool isIdempotent, int attempts)
 {
-    if (!isIdempotent || attempts >= maxAttemptsPerRequest || budget.credit_ < 1)
+    if (!isIdempotent || attempts >= attemptsPerRequest || budget.credit_ < 1)
         return false;
     budget.credit_ -= 1;
     return true;
--- a/Libraries/LibPolicy/Outcome.h
+++ b/Libraries/LibPolicy/Outcome.h
@@ -41,7 +41,7 @@
 constexpr double retryShare = 0.1;
 constexpr double maxRetryCredit = 10;
 /// Total attempts per request.
-constexpr int maxAttemptsPerRequest = 2;
+constexpr int attemptsPerRequest = 2;
 
 /// The rate at which credit is earned, and its maximum.
 struct RetryTerms
@@ -72,6 +72,6 @@
 /// prevent recovery. Without the check of the outcome, a non-idempotent request that may have
 /// started runs twice. Thread safety: as above.
 bool mayRetry(RetryBudget &budget, Outcome outcome, bool isIdempotent, int attempts,
-              int attemptLimit = maxAttemptsPerRequest);
+              int attemptLimit = attemptsPerRequest);
 
 } // namespace Policy
--- a/Libraries/LibPolicy/RegistrationExpiry.cpp
+++ b/Libraries/LibPolicy/RegistrationExpiry.cpp
@@ -43,15 +43,14 @@
 
 Model::SteadyTime usableUntil(const RemovedRegistration &removed, const StoreEvidence &evidence)
 {
-    std::optional<Model::SteadyTime> observedRecovery;
+    std::optional<Model::SteadyTime> recovery;
     if (hasReadRemoval(evidence.own_, removed))
-        observedRecovery = evidence.own_.recoveredAt_;
+        recovery = evidence.own_.recoveredAt_;
     for (const auto &other : evidence.others_) {
         if (hasReadRemoval(other, removed))
-            observedRecovery
-                = std::min(observedRecovery.value_or(other.answeredSince_), other.answeredSince_);
+            recovery = std::min(recovery.value_or(other.answeredSince_), other.answeredSince_);
     }
-    const auto recoveredAt = observedRecovery.value_or(recoverySeenBy(evidence.own_, removed));
+    const auto recoveredAt = recovery.value_or(recoverySeenBy(evidence.own_, removed));
     // A removal cannot be read during an outage: the store had recovered when it was noticed.
     const auto until = std::min(recoveredAt, removed.noticedAt_) + registrationExpiryGrace;
     const auto untilUnseen = removed.noticedAt_ + unobservedExpiryGrace;
--- a/Libraries/LibPolicy/WorkTimes.h
+++ b/Libraries/LibPolicy/WorkTimes.h
@@ -81,9 +81,9 @@
 constexpr double paceWeight = 0.3;
 constexpr double maxSlowness = 20;
 
-/// Half-life of slowness and failure rate, so that a slow target occasionally gets a request that
-/// shows its current pace. Without the decay, a target that was slow once would never get another
-/// request.
+/// Half-life of slowness and failure rate, so that a slow target still gets a request now and then
+/// that shows its current pace. Without the decay, a target that was slow once would never get
+/// another request.
 constexpr Model::Milliseconds paceHalfLife{2000};
 
 /// Returns the pace at \a now, decayed towards that of a healthy target. Thread safety: any thread.
--- a/Libraries/LibSteering/PeerCalls.cpp
+++ b/Libraries/LibSteering/PeerCalls.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-Task<void> PeerExchange::sendGossip(Model::Instance peer, bool isAnnouncement)
+Task<void> PeerExchange::gossipTo(Model::Instance peer, bool isAnnouncement)
 {
     const auto now = std::chrono::steady_clock::now();
     PeerMessage message{members_.at(settings_.instance_), {}, {}, provideCrashes_()};
--- a/Libraries/LibSteering/PeerExchange.cpp
+++ b/Libraries/LibSteering/PeerExchange.cpp
@@ -176,8 +176,7 @@
         Policy::forgetSilent(members_, settings_.instance_, now);
         Policy::forgetNonContacts(members_, now);
         for (auto &peer : choosePeers())
-            Http::asio::co_spawn(context_, sendGossip(std::move(peer), false),
-                                 Http::asio::detached);
+            Http::asio::co_spawn(context_, gossipTo(std::move(peer), false), Http::asio::detached);
         logLivenessChanges(now);
         if (behindSince_)
             catchUp(now);
@@ -217,7 +216,7 @@
     const auto now = std::chrono::steady_clock::now();
     auto chosen = Policy::peersToAnnounceTo(members_, localInstance(), now, random_());
     for (auto &peer : chosen)
-        Http::asio::co_spawn(context_, sendGossip(std::move(peer), true), Http::asio::detached);
+        Http::asio::co_spawn(context_, gossipTo(std::move(peer), true), Http::asio::detached);
 }
 
 void PeerExchange::recordMessage(const PeerMessage &message, SteadyTime now)
--- a/Libraries/LibSteering/PeerExchange.h
+++ b/Libraries/LibSteering/PeerExchange.h
@@ -92,7 +92,7 @@
 
 private:
     Http::Task<void> gossipLoop();
-    Http::Task<void> sendGossip(Model::Instance peer, bool isAnnouncement);
+    Http::Task<void> gossipTo(Model::Instance peer, bool isAnnouncement);
     Http::Task<void> fetchState();
     void countCall(PeerCall call, const Model::Instance &peer, const Http::Request &request,
                    const Http::ExchangeResult &result);
--- a/Services/Entryd/CallerRequest.cpp
+++ b/Services/Entryd/CallerRequest.cpp
@@ -140,8 +140,7 @@
 
     std::string caller = header(request->message_, Http::callerNameHeader);
     if (caller.size() > maxCallerNameLength || !isPrintable(caller))
-        return Model::fail(ResultCode::MalformedRequest,
-                           "the Caller name is too long or not printable ASCII without spaces");
+        return Model::fail(ResultCode::MalformedRequest, "Caller name is too long or unprintable");
     request->caller_ = Model::CallerId(caller.empty() ? remoteHost : std::move(caller));
     request->class_ = classFor(*snapshot.table_, request->caller_);
 
--- a/Services/Lookupd/LookupPage.cpp
+++ b/Services/Lookupd/LookupPage.cpp
@@ -45,8 +45,7 @@
                                              const std::string &path, const std::string &remoteHost)
 {
     if (!path.starts_with(entryPath))
-        return Model::fail(ResultCode::BadLookupQuery,
-                           "expected /v1/entry?service=NAME&caller=NAME");
+        return Model::fail(ResultCode::BadLookupQuery, "use /v1/entry?service=NAME&caller=NAME");
     const std::string_view parameters = std::string_view(path).substr(entryPath.size());
     const auto service = parameter(parameters, "service");
     if (!service)
--- a/Tests/Integration/TestEdits.cpp
+++ b/Tests/Integration/TestEdits.cpp
@@ -158,16 +158,15 @@
                                          "queue_ms=" + std::to_string(400 + i)},
                 site.directory() + "/" + name + ".log"));
         }
-        for (auto &editProcess : operators)
-            editProcess->start();
+        for (auto &tool : operators)
+            tool->start();
         int accepted = 0;
-        for (auto &editProcess : operators) {
-            const auto code = editProcess->wait(Milliseconds(20000));
+        for (auto &tool : operators) {
+            const auto code = tool->wait(Milliseconds(20000));
             CPPUNIT_ASSERT(code);
             accepted += *code == 0 ? 1 : 0;
             if (*code != 0)
-                CPPUNIT_ASSERT_MESSAGE(editProcess->log(),
-                                       editProcess->log().find("[408]") != std::string::npos);
+                CPPUNIT_ASSERT_MESSAGE(tool->log(), tool->log().find("[408]") != std::string::npos);
         }
         CPPUNIT_ASSERT_EQUAL(1, accepted);
         std::string history;
--- a/Tests/LibPolicy/TestFairness.cpp
+++ b/Tests/LibPolicy/TestFairness.cpp
@@ -165,7 +165,7 @@
         // Credit reserved for a request is available when the request needs it.
         Policy::RetryBudget small{1};
         CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, false, 1));
-        CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, true, Policy::maxAttemptsPerRequest));
+        CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, true, Policy::attemptsPerRequest));
         CPPUNIT_ASSERT(Policy::reserveRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::reserveRetryCredit(small, true, 1));
         CPPUNIT_ASSERT(!Policy::mayRetry(small, Policy::Outcome::NotRun, true, 1));
--- a/Tests/Measure/Scenarios.cpp
+++ b/Tests/Measure/Scenarios.cpp
@@ -109,7 +109,7 @@
         const auto still = Harness::samplesOfStream(samples, "bulk-" + calm);
         print("shift_scatter_of_cap", shiftPeak(still, site, 0, 22), "ratio");
         double last = at;
-        for (const auto &line : own) {
+        for (const auto &line : shifted) {
             for (const auto &target : site.table().targets()) {
                 if (target.id_.value() == line.target_
                     && target.domain_ == site.table().domains()[domain].id_)
--- a/Tests/Soak/Run.cpp
+++ b/Tests/Soak/Run.cpp
@@ -91,8 +91,7 @@
             const auto promise = static_cast<Promise>(i);
             const bool isInPlan = promise != Promise::PoisonRequests || size.hasPoisonRequests_;
             if (isInPlan && result.judged_[i] == 0)
-                result.broken_.push_back(std::string("nothing was checked for: ")
-                                         + toText(promise));
+                result.broken_.push_back(std::string("never checked: ") + toText(promise));
         }
     }
     result.servedAtEnd_ = promises.servedSince(endAt - servedTime);
