--- a/Libraries/LibSteering/RequestContext.cpp
+++ b/Libraries/LibSteering/RequestContext.cpp
@@ -34,9 +34,10 @@
 
 const Policy::RequestFingerprint &fingerprintFor(RequestContext &request, const HeaderNames &names)
 {
-    if (!request.cachedFingerprint_)
+    if (!request.cachedFingerprint_) {
         request.cachedFingerprint_
             = Policy::fingerprintOf(textOf(request, names), fingerprintPrefixFor(request, names));
+    }
     return *request.cachedFingerprint_;
 }
 
--- a/Services/Entryd/Attempts.cpp
+++ b/Services/Entryd/Attempts.cpp
@@ -216,9 +216,10 @@
     }
     const bool isNotRun = outcome == viewOf(toText(Outcome::NotRun));
     requestResult.outcome_ = isNotRun ? Outcome::NotRun : Outcome::Unknown;
-    if (isNotRun)
+    if (isNotRun) {
         requestResult.retryDelay_
             = Milliseconds(numberIn(answer[viewOf(Http::retryAfterHeader)], 1000));
+    }
     co_return requestResult;
 }
 
--- a/Services/Entryd/CrashGuard.cpp
+++ b/Services/Entryd/CrashGuard.cpp
@@ -46,9 +46,10 @@
 
 const RequestFingerprint &cachedFingerprint(CallerRequest &request)
 {
-    if (!request.cachedFingerprint_)
+    if (!request.cachedFingerprint_) {
         request.cachedFingerprint_
             = Policy::fingerprintOf(textOf(request), cachedFingerprintPrefix(request));
+    }
     return *request.cachedFingerprint_;
 }
 
--- a/Services/Entryd/Dispatcher.cpp
+++ b/Services/Entryd/Dispatcher.cpp
@@ -162,14 +162,16 @@
     }
     // A request that would be rejected anyway must not cost the store two writes.
     ServiceQueue &queue = queueFor(request);
-    if (queue.wouldReject(request))
+    if (queue.wouldReject(request)) {
         co_return resultBeforeClaim(notRun(ResultCode::OverCapacity, queue.estimatedRetryDelay()),
                                     request);
+    }
 
     const Platform::ClaimResult held = co_await claims_.claim(request);
-    if (!held.verdict_)
+    if (!held.verdict_) {
         co_return resultBeforeClaim(notRun(ResultCode::StoreUnavailable, Milliseconds(1000)),
                                     request);
+    }
     RequestResult requestResult;
     switch (*held.verdict_) {
     case Policy::ClaimVerdict::Replay: {
--- a/Tests/LibPolicy/TestPeerUpdate.cpp
+++ b/Tests/LibPolicy/TestPeerUpdate.cpp
@@ -88,9 +88,10 @@
                                        oldestLocal <= Policy::maxHeartbeatAge);
                 for (const auto &node : fleet.nodes_) {
                     // Of a remote region, knowing some members suffices.
-                    for (const char *region : {"r", "s", "t"})
+                    for (const char *region : {"r", "s", "t"}) {
                         CPPUNIT_ASSERT(aliveOf(fleet, node, region)
                                        >= std::min(perDomain, minKnownMembers));
+                    }
                 }
             }
         }
--- a/Tests/LibSteering/TestPeers.cpp
+++ b/Tests/LibSteering/TestPeers.cpp
@@ -254,9 +254,10 @@
         PeerMessage message{makeMember("front-koper-a-1"), {}, {}};
         const auto bare = toBytes(message).size();
         constexpr std::size_t count = 100;
-        for (std::size_t i = 0; i < count; ++i)
+        for (std::size_t i = 0; i < count; ++i) {
             message.update_.heartbeatRecords_.push_back(
                 makeMember("front-koper-a-10").heartbeatRecord_);
+        }
         CPPUNIT_ASSERT(toBytes(message).size() - bare < 50 * count);
     }
 };
